--- a/arrowfold/interface.py
+++ b/arrowfold/interface.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of a dispatcher. No decisions live here.
+"""The public interface of a dispatcher: its settings, events and actions. Decides nothing.
 
-Times are whole microseconds on the host's clock, which only goes forward. A worker, request,
-class, tenant, zone or kind is known by its name, which carries no meaning.
+Times are whole microseconds of a monotonic clock. Workers, requests, classes, tenants, zones and kinds are
+identified by opaque names.
 """
 
 from __future__ import annotations
@@ -11,7 +11,11 @@
 
 
 class Idempotency(Enum):
-    """What repeating a request of a class may do."""
+    """Whether a request of a class may be executed more than once.
+
+    SAFE: always. KEYED: within the class's `window_us` and `group`, where repeats are recognized.
+    UNSAFE: never.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -19,7 +23,7 @@
 
 
 class Status(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a probe ended. MOOT: it was ended before it was sent."""
 
     OK = 10
     ERROR = 20
@@ -32,7 +36,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that the worker never started the request."""
+        """Returns whether this outcome proves that the worker never started the request."""
         return self in _NEVER_RAN
 
 
@@ -40,7 +44,7 @@
 
 
 class Lifecycle(Enum):
-    """A worker's state in the roster."""
+    """A worker's state in the roster, the list of workers."""
 
     IN_SERVICE = "in_service"
     TERMINATING = "terminating"
@@ -48,7 +52,11 @@
 
 
 class RosterMode(Enum):
-    """What a roster event holds."""
+    """What a roster event contains.
+
+    PARTIAL: changed entries. COMPLETE: all entries. PERSISTED: all entries, read from disk.
+    ERROR: none, as the roster could not be read.
+    """
 
     PARTIAL = "partial"
     COMPLETE = "complete"
@@ -57,7 +65,7 @@
 
 
 class LoadSource(Enum):
-    """Where load reports come from."""
+    """Where load reports come from: with answers, from probes, or nowhere."""
 
     ANSWERS = "answers"
     PROBES = "probes"
@@ -66,24 +74,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """One class of requests.
+
+    `aim_us` is the latency objective: an answer within this time has the full value `worth`, a later one
+    `worth * late_share`. `deadline_us` is the time limit of a request. `window_us` and `group` define for how
+    long and among which workers a repeated KEYED request is recognized.
+    """
 
     name: str
     aim_us: int
     deadline_us: int
     idempotency: Idempotency = Idempotency.SAFE
-    group: str = "all"  # for keyed: "all", "zone" or "cell"
+    group: str = "all"  # for KEYED: "all", "zone" or "cell"
     window_us: int = 0
-    stretch: float = 0.0  # the aim grows by this many times the job's own work
+    stretch: float = 0.0  # the objective grows by this multiple of the request's own work
     worth: float = 1.0
     late_share: float = 0.0
-    kind: str | None = None  # the only kind of machine that runs it
+    kind: str | None = None  # the only kind of worker that runs it; None: any
     stream: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant; `quota_per_s` counts across all dispatchers, 0 where none is set."""
+    """A tenant; `quota_per_s` is shared by all dispatchers, 0 for none."""
 
     name: str
     share: float = 0.0
@@ -92,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points of the result for each unit, as fractions."""
+    """The price of one use of each resource, as a fraction of the score."""
 
     cross_zone: float = 0.0
     probe: float = 0.0
@@ -105,12 +118,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a dispatcher is handed at its start. Raises ValueError where it can't be served."""
+    """The settings of a dispatcher. Raises ValueError if they are inconsistent.
+
+    `may_probe`, `may_cancel`, `second_copies` (hedged attempts), `attempt_cap` and `retry_after` are
+    permissions. `cold_from`, `cold_us`, `overload_factor` and `overload_for_us` describe a worker's warm-up: it
+    starts with the fraction `cold_from` of its capacity, reaches all of it after `cold_us`, and must not get
+    more than `overload_factor` times its current capacity over `overload_for_us`.
+    """
 
     classes: tuple[RequestClass, ...]
     zone: str = ""
     number: int = 0
-    fleet_size: int = 1  # dispatchers in this tier, this one included
+    fleet_size: int = 1  # number of dispatchers, including this one
     tick_us: int = 1000
     load_source: LoadSource = LoadSource.NONE
     reports_memory: bool = False
@@ -128,7 +147,7 @@
     overload_factor: float = 1.0
     overload_for_us: int = 0
     connection_idle_us: int = 0
-    drain_limit_us: int = 1_000_000  # nothing new to a server this long after it was told to drain
+    drain_limit_us: int = 1_000_000  # no new requests to a worker this long after its drain began
     tells_start: bool = False
     progress_us: int = 0
     worth_by_work: bool = False
@@ -138,7 +157,7 @@
 
     @property
     def tells_load(self) -> bool:
-        """Whether anything but a dispatcher's own jobs tells it of a worker's load."""
+        """Returns whether workers' load is reported, beyond what a dispatcher knows from its own requests."""
         return self.load_source is not LoadSource.NONE
 
     def __post_init__(self) -> None:
@@ -163,19 +182,22 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A worker's own figures; None where the deployment doesn't report one."""
+    """A worker's report of its load; None where the deployment doesn't report a figure.
+
+    `waiting` counts its queued requests, `held` all of its requests.
+    """
 
     free_slots: float | None = None
     free_memory: float | None = None
     waiting: float | None = None
     busy: float | None = None
     held: float | None = None
-    errors: float | None = None  # a second
+    errors: float | None = None  # per second
 
 
 @dataclass(frozen=True, slots=True)
 class RosterEntry:
-    """One worker in a roster event; `launched_us` 0 means long past."""
+    """One worker in a roster event; `launched_us` 0 means that it started long ago."""
 
     worker: str
     zone: str = ""
@@ -188,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RosterUpdate:
-    """The roster, or a change of it."""
+    """The roster or a change of it."""
 
     mode: RosterMode
     entries: tuple[RosterEntry, ...] = ()
@@ -196,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reach:
-    """The workers that a route leaves a request: zones in tiers, the preferred first, and kinds (empty: any).
+    """The workers that a route permits: zones in tiers, preferred ones first, and kinds (empty: any).
 
     With `others`, all other zones form a last tier.
     """
@@ -207,11 +229,11 @@
 
     @property
     def last(self) -> int:
-        """The number of the last tier."""
+        """Returns the index of the last tier."""
         return len(self.zones) - (not self.others) if self.zones else 0
 
     def holds(self, zone: str, kind: str, tier: int) -> bool:
-        """Whether a worker of this zone and kind lies within the tiers up to this one."""
+        """Returns whether a worker of this zone and kind is within the tiers up to `tier`."""
         if self.kinds and kind not in self.kinds:
             return False
         if not self.zones or (self.others and tier >= len(self.zones)):
@@ -221,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that this dispatcher now owes one final answer."""
+    """A new request, which this dispatcher must give exactly one final answer."""
 
     request: str
     request_class: str
@@ -232,12 +254,12 @@
     slots: float = 1.0
     memory: float = 0.0
     resent: bool = False
-    reach: Reach | None = None  # what a route leaves; None where there is no route
+    reach: Reach | None = None  # what its route permits; None without a route
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt; `final` when the request is finished."""
+    """The outcome of an attempt, reported once; `final` if the request is finished."""
 
     request: str
     attempt: int
@@ -250,7 +272,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptProgress:
-    """An attempt has started (`done` is None), or a part of it is done."""
+    """An attempt has started (`done` is None), or the fraction `done` of it is complete."""
 
     request: str
     attempt: int
@@ -259,7 +281,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The attempt's answer has begun: it belongs to the client from here on."""
+    """The attempt's answer has begun and is being streamed to the client: no other attempt may answer."""
 
     request: str
     attempt: int
@@ -267,7 +289,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """The result of one probe."""
+    """The result of a probe."""
 
     worker: str
     status: Status
@@ -277,21 +299,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by this dispatcher is due."""
+    """A timer set by this dispatcher has expired."""
 
     handle: int
 
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The client left: nothing is owed any more."""
+    """The client left: the request needs no answer."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings from now on; a request that is open keeps the class it came with."""
+    """New settings; open requests keep the class that they arrived with."""
 
     settings: Settings
 
@@ -312,7 +334,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; `timeout_us` 0 lasts until the client's deadline."""
+    """Start an attempt; with `timeout_us` 0 it may last until the client's deadline."""
 
     request: str
     worker: str
@@ -321,14 +343,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a worker for its load."""
+    """Request a load report from a worker."""
 
     worker: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer no: trying again is harmless."""
+    """Refuse the request: a retry is safe, after `retry_after_us` if that is not 0."""
 
     request: str
     retry_after_us: int = 0
@@ -336,14 +358,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer failed: promises nothing about the effect."""
+    """Fail the request, which may or may not have been executed."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
@@ -351,7 +373,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for TimerFired after a delay."""
+    """Request TimerFired after a delay."""
 
     delay_us: int
     handle: int
@@ -359,17 +381,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the roster's changes from now on."""
+    """Subscribe to the roster and its changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchRoster:
-    """Ask for the whole roster once."""
+    """Request the whole roster once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line."""
 
     text: str
 
--- a/arrowfold/market/__init__.py
+++ b/arrowfold/market/__init__.py
@@ -1,1 +1,1 @@
-"""The token market: classes' tokens, their prices and their trades; one code for every program. No I/O."""
+"""The token market: tokens of classes, their prices and their trades. Shared by all programs; no I/O."""
--- a/arrowfold/market/blocks.py
+++ b/arrowfold/market/blocks.py
@@ -1,9 +1,8 @@
-"""A sequence in the order of arrival that gives up any item at the cost of its block. Decides nothing.
+"""An ordered sequence with cheap removal of any item. Decides nothing.
 
-A list looks through all that stand before an item to remove it: among the tokens of a large fleet that was
-most of a market's work. Here an item knows its block. With n items in blocks of B: an item by number costs
-log(n / B), an append nothing more, a removal B comparisons by identity; the first look after a change
-counts n / B blocks.
+Removal from a list scans all items before it, which was most of a market's work with many workers. Here an
+item refers to its block. With n items in blocks of B: access by index costs log(n / B), an append nothing
+more, a removal B comparisons by identity; the first access after a change sums up n / B block sizes.
 """
 
 from __future__ import annotations
@@ -13,11 +12,11 @@
 from itertools import accumulate, chain
 from typing import Generic, Protocol, TypeVar
 
-BLOCK = 256
+BLOCK = 256  # items per block
 
 
 class Item(Protocol):
-    """What a sequence holds: it keeps its block, and equals only itself."""
+    """An item of a sequence: refers to its block and is compared by identity."""
 
     block: list[object] | None
 
@@ -26,13 +25,13 @@
 
 
 class Blocks(Generic[T]):
-    """See the module's docstring. An item stands in at most one such sequence, and there once."""
+    """A sequence in order of insertion. An item may be in one sequence only, and once."""
 
     __slots__ = ("_blocks", "_count", "_ends")
 
     def __init__(self) -> None:
         self._blocks: list[list[T]] = []
-        self._ends: list[int] = []  # how many stand up to each block's end; empty where it has to be counted
+        self._ends: list[int] = []  # number of items up to each block's end; empty when outdated
         self._count = 0
 
     def __len__(self) -> int:
@@ -48,12 +47,12 @@
             raise IndexError(number)
         if not self._ends:
             self._ends = list(accumulate(map(len, self._blocks)))
-        at = bisect_right(self._ends, number)
-        return self._blocks[at][number - self._ends[at]]
+        index = bisect_right(self._ends, number)
+        return self._blocks[index][number - self._ends[index]]
 
     def in_order(self, items: Iterable[T]) -> list[T]:
-        """Some of its items in their order here; costs the number of blocks, and a look into each item's."""
-        rank = {id(block): at for at, block in enumerate(self._blocks)}
+        """Returns the given items in sequence order; scans all blocks, and each item's block."""
+        rank = {id(block): index for index, block in enumerate(self._blocks)}
 
         def place(item: T) -> tuple[int, int]:
             block = item.block
@@ -72,10 +71,10 @@
         self._ends = []
 
     def remove(self, item: T) -> None:
-        """Raises ValueError where the item does not stand here."""
+        """Removes an item. Raises ValueError if it is in no sequence."""
         block: list[T] = item.block  # type: ignore[assignment]
         if block is None:
-            raise ValueError("it stands in no sequence")
+            raise ValueError("item is in no sequence")
         block.remove(item)
         item.block = None
         self._count -= 1
--- a/arrowfold/market/view.py
+++ b/arrowfold/market/view.py
@@ -1,4 +1,4 @@
-"""What the market asks of the program that it runs in: workers' loads, sizes and prices. Decides nothing."""
+"""The interface of the token market to its program: loads, sizes and prices of workers. Decides nothing."""
 
 from __future__ import annotations
 
@@ -13,24 +13,27 @@
 
 
 class MarketView(ABC, Generic[HolderT, TableT]):
-    """The workers as one program sees them; loads are fractions of a worker's size, one each of `mean`."""
+    """A program's view of its workers and classes.
+
+    Resources are numbered from 0, with one entry of `mean` for each. A load is a fraction of a worker's size.
+    """
 
     now: int  # microseconds
     random: Random
     tables: MutableMapping[Any, TableT]
-    mean: list[float]  # L_avg^k
-    spread: float  # how far loads lie from their mean, on average
-    fleet: int  # how many workers serve
-    tokens_per_worker: int = 24  # gives L_g; so many that each worker has some of every usual class
-    trade_threshold: float = 1.0  # T_s = -T_r = T, in spreads
+    mean: list[float]  # L_avg^k, by resource
+    spread: float  # mean deviation of loads from their mean
+    fleet: int  # number of workers in service
+    tokens_per_worker: int = 24  # on average; determines L_g. Enough for some tokens of every usual class
+    trade_threshold: float = 1.0  # T_s = -T_r = T, as a multiple of `spread`, times the number of resources
 
     @abstractmethod
     def _load(self, worker: HolderT, k: int) -> float:
-        """L_j^k: the worker's load in a resource."""
+        """L_j^k: the worker's load of resource `k`."""
 
     @abstractmethod
     def _size(self, worker: HolderT) -> list[float]:
-        """R_j^k: how much of each resource the worker has."""
+        """R_j^k: the worker's capacity of each resource."""
 
     @abstractmethod
     def _cost(self, worker: HolderT, table: TableT) -> float:
@@ -38,12 +41,12 @@
 
     @abstractmethod
     def _sample(self, table: TableT, count: int) -> list[HolderT]:
-        """A few workers that may hold the class's tokens, each once."""
+        """Returns at most `count` distinct workers that may hold the class's tokens."""
 
     @abstractmethod
     def _may_hold(self, worker: HolderT, table: TableT) -> bool:
-        """Whether the worker may hold the class's tokens."""
+        """Returns whether the worker may hold the class's tokens."""
 
     @abstractmethod
     def _may_receive(self, worker: HolderT) -> bool:
-        """Whether trades may bring tokens to the worker now."""
+        """Returns whether trades may move tokens to the worker now."""
--- a/arrowfold/ring.py
+++ b/arrowfold/ring.py
@@ -1,8 +1,8 @@
-"""The ring of consistent hashing by which all dispatchers name the same homes for a key. Decides nothing.
+"""The consistent-hashing ring from which all dispatchers derive the same affinity workers of a key.
 
-With n servers and M places each: a change of c servers costs c x M x log(n x M) comparisons and as many
-moves of memory, which stay under a millisecond for hundreds of servers; one of many servers, a pass over
-all places. A look costs log(n x M). Memory: about 100 bytes a place.
+With n workers and M points each, a change of c workers costs c x M x log(n x M) comparisons and as many
+memory moves, which take under a millisecond for hundreds of workers; a change of many workers rebuilds all
+points in one pass. A lookup costs log(n x M). Memory: about 100 bytes per point.
 """
 
 from __future__ import annotations
@@ -10,43 +10,43 @@
 from bisect import bisect_left, insort
 from zlib import crc32
 
-MARKS = 64  # places of a server; with few, shares are left to chance
-PART = 8  # a change of more than one server in so many is made in one pass
-Mark = tuple[int, str]
+POINTS_PER_WORKER = 64  # with fewer, the workers' shares of the keys are uneven
+REBUILD_DIVISOR = 8  # a change of more than one in this many workers rebuilds the ring
+Point = tuple[int, str]
 
 
-def marks(name: str) -> list[Mark]:
-    """A server's places."""
-    return [(crc32(f"{i} {name}".encode()), name) for i in range(MARKS)]
+def points_of(name: str) -> list[Point]:
+    """Returns a worker's points on the ring."""
+    return [(crc32(f"{i} {name}".encode()), name) for i in range(POINTS_PER_WORKER)]
 
 
 class Ring:
-    """The places of all servers in the order of their hashes; `version` moves with each change."""
+    """The points of all workers in the order of their hashes; `version` increases with each change."""
 
     def __init__(self) -> None:
-        self.places: list[Mark] = []
+        self.points: list[Point] = []
         self.names: set[str] = set()
         self.version = 0
 
-    def hold(self, names: set[str]) -> None:
-        """Have just these servers. Only newcomers are hashed anew where few change."""
-        new, gone = names - self.names, self.names - names
-        if not new and not gone:
+    def set_workers(self, names: set[str]) -> None:
+        """Sets the workers on the ring. Hashes only added and removed ones if few change."""
+        added, removed = names - self.names, self.names - names
+        if not added and not removed:
             return
         self.version += 1
         self.names = names
-        if (len(new) + len(gone)) * PART > len(names):
-            kept = [mark for mark in self.places if mark[1] not in gone]
-            self.places = sorted(kept + [mark for name in new for mark in marks(name)])
+        if (len(added) + len(removed)) * REBUILD_DIVISOR > len(names):
+            kept = [point for point in self.points if point[1] not in removed]
+            self.points = sorted(kept + [point for name in added for point in points_of(name)])
             return
-        for name in gone:
-            for mark in marks(name):
-                del self.places[bisect_left(self.places, mark)]
-        for name in new:
-            for mark in marks(name):
-                insort(self.places, mark)
-
-    def after(self, key: str, count: int) -> list[str]:
-        """The servers of the next `count` places from a key's on, each once, in order."""
-        at, places = bisect_left(self.places, (crc32(key.encode()), "")), self.places
-        return list(dict.fromkeys(places[(at + i) % len(places)][1] for i in range(count)))
+        for name in removed:
+            for point in points_of(name):
+                del self.points[bisect_left(self.points, point)]
+        for name in added:
+            for point in points_of(name):
+                insort(self.points, point)
+
+    def successors(self, key: str, count: int) -> list[str]:
+        """Returns the distinct workers of the `count` points that follow a key's hash, in order."""
+        start, points = bisect_left(self.points, (crc32(key.encode()), "")), self.points
+        return list(dict.fromkeys(points[(start + i) % len(points)][1] for i in range(count)))
--- a/arrowfold/simhost.py
+++ b/arrowfold/simhost.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: translates lines into events and actions into lines. Decides nothing.
+"""The simulator's protocol: translates lines into events and actions into lines. Decides nothing.
 
-Reads batches from standard input, one JSON value a line, and writes one reply for each. Hosts
-any number of dispatchers, which share nothing.
+Reads batches from standard input, one JSON value per line, and writes one reply for each. Hosts any number
+of dispatchers, which share no state.
 """
 
 from __future__ import annotations
@@ -26,33 +26,33 @@
 
 
 class WireError(ValueError):
-    """A line that is not a batch."""
+    """A line that is not a valid batch."""
 
 
 def read_class(conf: Fields, index: int) -> api.RequestClass:
-    """One class of the settings, with what `domain` says of it."""
+    """Reads one class of the settings, including its entries in `domain`."""
     row, domain = conf["classes"][index], conf.get("domain") or {}
     kinds, stretches = domain.get("classKind") or [], domain.get("classStretch") or []
-    bound = kinds[index] if index < len(kinds) else -1
+    kind_index = kinds[index] if index < len(kinds) else -1
     return api.RequestClass(
         name=row["name"], aim_us=row["onTimeUs"], deadline_us=row["hardLimitUs"],
         idempotency=api.Idempotency(row.get("idempotency", "safe")), group=row.get("group") or "all",
         window_us=row.get("windowUs") or 0, worth=1.0 if row.get("importance") is None else row["importance"],
         stretch=(stretches[index] if index < len(stretches) else 0.0) + (row.get("aimStretch") or 0.0),
         late_share=row.get("lateShare") or 0.0, stream=bool(row.get("stream")),
-        kind=conf["kinds"][bound] if bound >= 0 else None)
+        kind=conf["kinds"][kind_index] if kind_index >= 0 else None)
 
 
 def report_fields(conf: Fields) -> list[str | None]:
-    """The LoadReport field for each place of a reported row."""
+    """Returns the LoadReport field for each position of a reported row; None where there is none."""
     domain = conf.get("domain") or {}
-    told = {name: _MEANINGS.get(domain.get(f"report{name.upper()}") or "") for name in ("x0", "x1")}
+    custom = {name: _MEANINGS.get(domain.get(f"report{name.upper()}") or "") for name in ("x0", "x1")}
     names = (conf.get("report") or {}).get("names") or []
-    return [_REPORTED.get(name) or told.get(name) for name in names]
+    return [_REPORTED.get(name) or custom.get(name) for name in names]
 
 
 def read_settings(conf: Fields) -> api.Settings | ValueError:
-    """The settings as the library words them, or what it says against them."""
+    """Returns the settings, or the error that makes them invalid."""
     try:
         return build_settings(conf)
     except ValueError as error:
@@ -60,8 +60,8 @@
 
 
 def build_settings(conf: Fields) -> api.Settings:
-    """Translate key by key; absent keys get the library's neutral values."""
-    allowed, contract = conf.get("permissions") or {}, conf.get("contract") or {}
+    """Translates the settings key by key; absent keys get neutral values. Raises ValueError if invalid."""
+    permissions, contract = conf.get("permissions") or {}, conf.get("contract") or {}
     prices, domain = conf.get("prices") or {}, conf.get("domain") or {}
     source = (conf.get("report") or {}).get("source")
     return api.Settings(
@@ -70,10 +70,11 @@
         fleet_size=conf.get("fleetSize") or 1, tick_us=conf.get("tickUs") or 1000,
         load_source=_SOURCES.get(source or "", api.LoadSource.NONE),
         reports_memory="free_memory" in report_fields(conf),
-        may_probe=bool(allowed.get("probes")), may_cancel=bool(allowed.get("cancel")),
-        second_copies=bool(allowed.get("secondCopies")), attempt_cap=allowed.get("sendCap") or 1,
-        retry_after=bool(allowed.get("retryAfter")), max_retry_after_us=allowed.get("maxRetryAfterUs") or 0,
-        connection_idle_us=allowed.get("connIdleUs") or 0,
+        may_probe=bool(permissions.get("probes")), may_cancel=bool(permissions.get("cancel")),
+        second_copies=bool(permissions.get("secondCopies")), attempt_cap=permissions.get("sendCap") or 1,
+        retry_after=bool(permissions.get("retryAfter")),
+        max_retry_after_us=permissions.get("maxRetryAfterUs") or 0,
+        connection_idle_us=permissions.get("connIdleUs") or 0,
         drain_limit_us=contract.get("stopSendingWithinUs") or 0,
         roster_on_request=conf.get("discovery") == "subscribe",
         ask_within_us=contract.get("askWithinUs") or 0, answer_slack_us=contract.get("answerSlackUs") or 0,
@@ -94,17 +95,17 @@
 
 
 class Instance:
-    """One dispatcher and the meaning of its report rows."""
+    """One dispatcher and the field names of its report rows. Its methods translate incoming messages."""
 
-    def __init__(self, row: list[str | None], dispatcher: Dispatcher) -> None:
-        self.row, self.dispatcher = row, dispatcher
+    def __init__(self, report_names: list[str | None], dispatcher: Dispatcher) -> None:
+        self.report_names, self.dispatcher = report_names, dispatcher
 
     def report(self, fields: Fields) -> api.LoadReport | None:
-        """The report that came along, if one did."""
+        """Returns the load report of a message, if it has one."""
         usage = fields.get("usage")
         if not usage:
             return None
-        named = {name: value for name, value in zip(self.row, usage, strict=False) if name}
+        named = {name: value for name, value in zip(self.report_names, usage, strict=False) if name}
         return api.LoadReport(**named)
 
     def roster(self, fields: Fields) -> api.Event:
@@ -163,51 +164,51 @@
 
 
 class Host:
-    """The instances of one process, by name."""
+    """The dispatchers of one process, by name."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
 
     def reply(self, line: str) -> str:
-        """The reply to one batch."""
+        """Returns the reply to one batch. Raises WireError if the line is malformed."""
         try:
             batch = json.loads(line)
             now_us, groups = batch["tsUs"], batch["groups"]
-            answered = [self._answer(now_us, g["schedulerId"], g.get("in") or []) for g in groups]
+            replies = [self._answer(now_us, g["schedulerId"], g.get("in") or []) for g in groups]
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             raise WireError(f"malformed batch: {type(error).__name__}: {error}") from error
-        return json.dumps({"groups": [g for g in answered if g["orders"]]}, separators=(",", ":"))
+        return json.dumps({"groups": [g for g in replies if g["orders"]]}, separators=(",", ":"))
 
     def _answer(self, now_us: int, name: str, messages: list[Fields]) -> Fields:
-        """What one instance does with its events; those before a kill or a start go with that life."""
+        """Returns an instance's orders for its messages; those before a CREATE or RETIRE are dropped."""
         events: list[api.Event] = []
         for message in messages:
-            ((word, fields),) = message.items()
-            if word in ("CREATE", "RETIRE"):
+            ((message_type, fields),) = message.items()
+            if message_type in ("CREATE", "RETIRE"):
                 events = []
                 self.instances.pop(name, None)
-            if word == "CREATE":
+            if message_type == "CREATE":
                 settings, seed = read_settings(fields["conf"]), fields["rngSeed"]
                 if isinstance(settings, ValueError):
-                    return {"schedulerId": name, "orders": [give_in(settings)]}
+                    return {"schedulerId": name, "orders": [failure_order(settings)]}
                 self.instances[name] = Instance(report_fields(fields["conf"]), Dispatcher(settings, seed))
-            elif word in _EVENTS and name in self.instances:
-                events.append(_EVENTS[word](self.instances[name], fields))
+            elif message_type in _EVENTS and name in self.instances:
+                events.append(_EVENTS[message_type](self.instances[name], fields))
         instance = self.instances.get(name)
         try:
             actions = instance.dispatcher.handle(now_us, events) if instance else []
-        except Exception as error:  # the wire asks for any failure of the module
-            return {"schedulerId": name, "orders": [give_in(error)]}
+        except Exception as error:  # the protocol reports any failure of the decision code
+            return {"schedulerId": name, "orders": [failure_order(error)]}
         return {"schedulerId": name, "orders": [_ACTIONS[type(action)](action) for action in actions]}
 
 
-def give_in(error: Exception) -> Fields:
-    """The wire's word for a failure of the decision code."""
+def failure_order(error: Exception) -> Fields:
+    """Returns the order that reports a failure of the decision code."""
     return {"GIVE_IN": {"words": f"{type(error).__name__}: {error}"}}
 
 
 def serve(lines: TextIO, out: TextIO) -> None:
-    """Answer every batch until the input ends."""
+    """Answers every batch until the input ends."""
     host = Host()
     for line in lines:
         if line.strip():
@@ -216,7 +217,7 @@
 
 
 def main() -> int:
-    """Run the adapter; a malformed line ends it with one message on standard error."""
+    """Runs the adapter; a malformed line ends it with one message on standard error."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/arrowfold/state.py
+++ b/arrowfold/state.py
@@ -1,4 +1,4 @@
-"""What a dispatcher remembers: plain types with no decisions, used by arrowfold/choice.py alone."""
+"""The state of a dispatcher: plain types without decisions, used by arrowfold/choice.py only."""
 
 from __future__ import annotations
 
@@ -7,64 +7,71 @@
 from arrowfold import interface as api
 from arrowfold.market.tokens import SECOND, Token, TokenTable
 
-LAG_US = SECOND // 2  # how far reports lie behind, about
-STRIKE_US = 4 * SECOND  # a failure's weight halves in this time
+REPORT_LAG_US = SECOND // 2  # approximate age of a load report on arrival
+PENALTY_HALF_LIFE_US = 4 * SECOND  # half-life of a failure penalty
 
 
 class Worker:
-    """A worker as this dispatcher sees it: its roster entry, its figures, its tokens."""
+    """A worker as known to this dispatcher: its roster entry, load, penalties and tokens.
+
+    Lists of two hold slots and memory.
+    """
 
     __slots__ = (
-        "askers", "cell", "cold_next_us", "errors", "failed", "free", "full_us", "heard_us", "kind", "lag",
-        "lag_us", "launched_us", "local", "name", "others", "out", "probe_us", "report", "serving", "size",
-        "slow", "slow_us", "strike_us", "strikes", "tokens", "zone",
+        "cell", "errors_per_s", "failed", "free", "kind", "lag_updated_us", "lagged_in_flight",
+        "last_report_us", "launched_us", "local", "name", "next_cold_turn_us", "others_used", "out",
+        "penalty_us", "probe_sent_us", "probe_waiters", "refused_us", "report", "serving", "size",
+        "slowness", "slowness_us", "strikes", "tokens", "zone",
     )
 
     def __init__(self, name: str) -> None:
         self.name, self.zone, self.kind, self.cell, self.local = name, "", "", 0, False
         self.launched_us, self.serving = 0, False
-        self.free: list[float] | None = None  # reported free figures, less what waits
-        self.size: list[float] = []  # R_j^k: the largest free figures seen
-        self.full_us = -60 * SECOND  # when it last turned a job away
-        self.errors = 0.0  # a second, by its last report
-        self.report: object = None  # the last one, to tell a new one from the same told again
-        self.out = [0.0, 0.0]  # what this dispatcher has out there now
-        self.lag, self.lag_us = [0.0, 0.0], 0  # the same as reports show it: some time ago
-        self.others = [0.0, 0.0]  # what the other dispatchers have there
-        self.heard_us, self.slow, self.slow_us = 0, 1.0, 0
-        self.strikes, self.failed, self.strike_us = 0.0, 0.0, 0
-        self.probe_us: int | None = None  # when the probe still out was sent
-        self.askers: list[Request] = []
+        self.free: list[float] | None = None  # last report; slots less requests waiting there
+        self.size: list[float] = []  # R_j^k: the largest free resources reported
+        self.refused_us = -60 * SECOND  # time of its last refusal
+        self.errors_per_s = 0.0  # from its last report
+        self.report: object = None  # the last one, to recognize repeated reports
+        self.out = [0.0, 0.0]  # resources of this dispatcher's attempts in flight
+        self.lagged_in_flight, self.lag_updated_us = [0.0, 0.0], 0  # the same, delayed as in reports
+        self.others_used = [0.0, 0.0]  # resources in use by other dispatchers
+        self.last_report_us, self.slowness, self.slowness_us = 0, 1.0, 0
+        self.strikes, self.failed, self.penalty_us = 0.0, 0.0, 0
+        self.probe_sent_us: int | None = None  # of the probe in flight
+        self.probe_waiters: list[Request] = []
         self.tokens: list[Token[Worker]] = []
-        self.cold_next_us = 0
+        self.next_cold_turn_us = 0
 
-    def catch_up(self, now: int) -> None:
-        """What this dispatcher had out when a report that is heard now was made, about."""
-        part = 1 - 2 ** (-(now - self.lag_us) / LAG_US)
-        self.lag_us = now
+    def update_lag(self, now: int) -> None:
+        """Updates the delayed view of the attempts in flight, for comparison with a report received now."""
+        weight = 1 - 2 ** (-(now - self.lag_updated_us) / REPORT_LAG_US)
+        self.lag_updated_us = now
         for k in (0, 1):
-            self.lag[k] += part * (self.out[k] - self.lag[k])
+            self.lagged_in_flight[k] += weight * (self.out[k] - self.lagged_in_flight[k])
 
-    def count(self, now: int, slots: float, memory: float) -> None:
-        """So much more is out here, or less."""
-        self.catch_up(now)
+    def add_in_flight(self, now: int, slots: float, memory: float) -> None:
+        """Adds to the resources of attempts in flight; negative amounts end them."""
+        self.update_lag(now)
         self.out[0] = max(0.0, self.out[0] + slots)
         self.out[1] = max(0.0, self.out[1] + memory)
 
-    def note_pace(self, now: int, ratio: float) -> None:
-        """How much slower than usual it runs; forgotten unless seen again."""
-        self.slow += 0.3 * (min(ratio, 10.0) - self.slow)
-        self.slow_us = now
+    def note_slowness(self, now: int, ratio: float) -> None:
+        """Adds a ratio of measured to expected run time; its effect on the load decays."""
+        self.slowness += 0.3 * (min(ratio, 10.0) - self.slowness)
+        self.slowness_us = now
 
     def strike(self, now: int, weight: float = 1.0, failed: bool = False) -> None:
-        """Guards against a worker that fails, hangs or has gone: its load rises, for a while."""
-        part = 2 ** (-(now - self.strike_us) / STRIKE_US)
-        self.strikes, self.strike_us = min(max(self.strikes * part + weight, 0.0), 4.0), now
-        self.failed = min(self.failed * part + failed, self.strikes)
+        """Adds to the failure penalty, which raises the load of a failing or unresponsive worker for a while.
+
+        `failed` marks a failed attempt; the others are timeouts and unanswered probes.
+        """
+        decay = 2 ** (-(now - self.penalty_us) / PENALTY_HALF_LIFE_US)
+        self.strikes, self.penalty_us = min(max(self.strikes * decay + weight, 0.0), 4.0), now
+        self.failed = min(self.failed * decay + failed, self.strikes)
 
 
 class Timers:
-    """What a dispatcher does now, and what it has put off: calls by the handles of their timers."""
+    """The current actions of a dispatcher, and its pending callbacks by timer handle."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -72,96 +79,98 @@
         self.timers: dict[int, tuple[Callable[..., None], tuple[object, ...]]] = {}
         self.next_timer = 0
 
-    def _after(self, delay_us: float, call: Callable[..., None], *args: object) -> None:
+    def _set_timer(self, delay_us: float, callback: Callable[..., None], *args: object) -> None:
         self.next_timer += 1
-        self.timers[self.next_timer] = call, args
+        self.timers[self.next_timer] = callback, args
         self.actions.append(api.SetTimer(max(0, int(delay_us)), self.next_timer))
 
     def _on_timer(self, event: api.TimerFired) -> None:
-        call, args = self.timers.pop(event.handle, (None, ()))
-        if call:
-            call(*args)
+        callback, args = self.timers.pop(event.handle, (None, ()))
+        if callback:
+            callback(*args)
 
 
 class Attempt:
-    """One send of a request."""
+    """An attempt of a request at one worker."""
 
-    __slots__ = ("begun_us", "ended", "may_have_run", "sent_us", "worker")
+    __slots__ = ("ended", "may_have_run", "sent_us", "start_us", "worker")
 
     def __init__(self, worker: Worker, now: int) -> None:
-        self.worker, self.sent_us, self.begun_us = worker, now, now
+        self.worker, self.sent_us, self.start_us = worker, now, now  # the start as soon as it is reported
         self.ended, self.may_have_run = False, True
 
 
 class Request:
-    """An open request and its attempts."""
+    """A request and its attempts."""
 
     __slots__ = (
-        "aged", "attempts", "awaiting", "born_us", "candidates", "cap", "cls", "deadline_us", "hint", "homes",
-        "homes_of", "id", "key", "memory", "open", "over_share", "reach", "slots", "stage", "streaming",
-        "table", "tier", "token", "wave",
+        "affinity", "affinity_version", "attempt_cap", "attempts", "candidates", "cls", "deadline_us",
+        "effort_us", "first_try_us", "id", "key", "memory", "open", "over_share", "pending_probes",
+        "probe_round", "reach", "search_stage", "slots", "streaming", "table", "tier", "token", "was_late",
     )
 
-    def __init__(self, event: api.Arrival, table: Table, now: int, cap: int = 1) -> None:
-        self.cls, self.cap = table.cls, cap  # as they were at its arrival
-        self.id, self.table, self.deadline_us, self.born_us = event.request, table, event.deadline_us, now
-        self.slots, self.memory, self.hint = event.slots, event.memory, event.effort_us
+    def __init__(self, event: api.Arrival, table: Table, now: int, attempt_cap: int = 1) -> None:
+        self.cls, self.attempt_cap = table.cls, attempt_cap  # as of its arrival
+        self.id, self.table, self.deadline_us, self.first_try_us = (
+            event.request, table, event.deadline_us, now)
+        self.slots, self.memory, self.effort_us = event.slots, event.memory, event.effort_us
         self.key, self.open, self.streaming, self.over_share = event.key, True, False, False
-        self.aged = False  # its client's aim had gone by when it came
+        self.was_late = False  # the latency objective had passed on arrival, counted from the first try
         self.attempts: list[Attempt] = []
-        self.awaiting = self.stage = self.wave = self.tier = 0
+        self.pending_probes = self.search_stage = self.probe_round = self.tier = 0
         self.reach = event.reach
         self.candidates: list[Worker] = []
         self.token: Token[Worker] | None = None
-        self.homes: list[Worker] = []
-        self.homes_of = -1  # the ring's version that they stand for
+        self.affinity: list[Worker] = []
+        self.affinity_version = -1  # version of the ring that `affinity` was read from
 
-    def reaches(self, worker: Worker) -> bool:
-        """Whether the route leaves this worker, up to the tier that is looked at."""
+    def can_use(self, worker: Worker) -> bool:
+        """Returns whether the route permits this worker, in the tiers up to the current one."""
         return self.reach is None or self.reach.holds(worker.zone, worker.kind, self.tier)
 
-    def comes_again(self, now: int) -> None:
-        """Count from its client's first try: a later one has less time left than others of its class."""
-        self.born_us = min(now, self.deadline_us - self.table.longest_wait(self.deadline_us - now))
-        self.aged = now > self.born_us + self.cls.aim_us
+    def estimate_first_try(self, now: int) -> None:
+        """Estimates the time of the client's first try: a retry has less time left than its class."""
+        self.first_try_us = min(now, self.deadline_us - self.table.update_wait(self.deadline_us - now))
+        self.was_late = now > self.first_try_us + self.cls.aim_us
 
     def work_us(self) -> float:
-        """How long it is expected to run."""
-        return self.hint * self.table.per_hint if self.hint else self.table.run_us
+        """Returns the expected run time."""
+        return self.effort_us * self.table.run_per_effort if self.effort_us else self.table.run_us
 
-    def out(self) -> int:
-        """How many attempts have no outcome yet."""
+    def count_in_flight(self) -> int:
+        """Returns the number of attempts without an outcome."""
         return sum(not a.ended for a in self.attempts)
 
 
-class Share:
-    """A share of late events, the newest weighing most."""
+class RunningShare:
+    """An exponential moving average of a Boolean."""
 
     __slots__ = ("value",)
 
     def __init__(self, value: float) -> None:
         self.value = value
 
-    def note(self, held: bool) -> None:
-        """One event more, of which it holds or not."""
-        self.value += 0.05 * (held - self.value)
+    def add(self, holds: bool) -> None:
+        """Adds one observation."""
+        self.value += 0.05 * (holds - self.value)
 
 
 class Table(TokenTable[Worker]):
-    """The tokens of one class, and what is measured of it."""
+    """The tokens and measurements of one request class."""
 
-    __slots__ = ("cls", "longest_us", "per_hint")
+    __slots__ = ("cls", "longest_wait_us", "run_per_effort")
 
     def __init__(self, cls: api.RequestClass, memory_us: int) -> None:
-        super().__init__(float(cls.aim_us), memory_us)  # the aim until a run is measured
+        super().__init__(float(cls.aim_us), memory_us)  # the objective until a run is measured
         self.cls = cls
-        self.per_hint = 1.0  # run time for each unit of hinted work
-        self.longest_us = 0  # how long the clients with the most time left waited, lately
+        self.run_per_effort = 1.0  # run time per unit of expected effort
+        self.longest_wait_us = 0  # longest recent wait of clients in all, slowly decaying
 
-    def longest_wait(self, left_us: int) -> int:
-        """How long a client waits in all, by those that came lately; the newest has so much time left.
+    def update_wait(self, time_left_us: int) -> int:
+        """Updates and returns the time that clients wait in all, from the time left at an arrival.
 
-        Guards clients that never wait as long as their class would let them: none of them comes again.
+        Where no client waits as long as its class permits, a short time left doesn't indicate a retry.
         """
-        self.longest_us += max(left_us - self.longest_us, (left_us - self.longest_us) // 20)
-        return min(self.longest_us, self.cls.deadline_us)
+        self.longest_wait_us += max(
+            time_left_us - self.longest_wait_us, (time_left_us - self.longest_wait_us) // 20)
+        return min(self.longest_wait_us, self.cls.deadline_us)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -5,7 +5,7 @@
 import unittest
 
 from arrowfold import interface as api
-from arrowfold.choice import PARTNERS
+from arrowfold.choice import CANDIDATES
 from arrowfold.state import Request
 from tests.field import SECOND, Recorder, roster, sends, settings, started
 
@@ -39,7 +39,7 @@
         for n in range(40):
             field.advance(field.now + SECOND // 2)
             field.feed(api.ProbeEnded(worker.name, api.Status.OK, 500, api.LoadReport(0, held=9 + n % 2)))
-        self.assertAlmostEqual(worker.others[0], 6.5, delta=1)
+        self.assertAlmostEqual(worker.others_used[0], 6.5, delta=1)
 
 
     def test_a_newcomer_soon_knows_how_large_servers_are(self) -> None:
@@ -57,7 +57,7 @@
         patient = (api.RequestClass("safe", 4 * SECOND, 5 * SECOND),)
         field = Recorder(settings(may_probe=True, classes=patient), roster(2, zones="a"))
         module = field.dispatcher
-        module.run_us, module.tables["safe"].run_us = 20.0 * SECOND, 1.0 * SECOND  # of all, of this
+        module.mean_run_us, module.tables["safe"].run_us = 20.0 * SECOND, 1.0 * SECOND  # of all, of this
         full, free = api.LoadReport(free_slots=0, held=9), api.LoadReport(free_slots=5, held=4)
 
         def answer(report: api.LoadReport) -> None:
@@ -70,7 +70,7 @@
         for nth in range(3):
             field.arrive(f"r{nth}")
             answer(full)
-        waiting = sum(map(len, module.lines.values()))
+        waiting = sum(map(len, module.queues.values()))
         self.assertGreater(waiting, 0)
         begun, sent = field.now, len(field.sent)
         while len(field.sent) < sent + waiting and field.now < begun + 4 * SECOND:
@@ -93,7 +93,7 @@
         field.feed(api.RosterUpdate(api.RosterMode.PARTIAL, (entry,)))
         field.timers.clear()  # nothing ends, and nobody who waits looks by himself
         field.dispatcher.actions = []
-        field.dispatcher._cold_wait(field.dispatcher.workers["w1"], SECOND / 5)
+        field.dispatcher._schedule_cold_turn(field.dispatcher.workers["w1"], SECOND / 5)
         for action in field.dispatcher.actions:
             field._check(action)
         field.advance(field.now + 2 * SECOND)
@@ -113,8 +113,8 @@
         keys: dict[bool, str] = {}
         for n in range(200):
             probe = Request(api.Arrival("x", "safe", SECOND, f"k{n}"), dispatcher.tables["safe"], 0)
-            homes = dispatcher._homes_of(probe)
-            if worker is homes[0] or worker not in homes[:PARTNERS]:
+            homes = dispatcher._affinity_workers(probe)
+            if worker is homes[0] or worker not in homes[:CANDIDATES]:
                 keys.setdefault(worker is homes[0], f"k{n}")
         for n in range(9):  # others fill them all, and more wait there
             for name in dispatcher.workers:
@@ -166,6 +166,6 @@
         counts = dict.fromkeys(dispatcher.workers, 0)
         for n in range(3000):
             request = Request(api.Arrival("x", "safe", SECOND, f"k{n}"), dispatcher.tables["safe"], 0)
-            counts[dispatcher._homes_of(request)[0].name] += 1
+            counts[dispatcher._affinity_workers(request)[0].name] += 1
         self.assertLess(max(counts.values()), 1.5 * 3000 / 9)
         self.assertGreater(min(counts.values()), 0.5 * 3000 / 9)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 
 from arrowfold import Dispatcher
 from arrowfold import interface as api
-from arrowfold.ring import MARKS, Ring
+from arrowfold.ring import POINTS_PER_WORKER, Ring
 from arrowfold.state import Request, Token
 from tests.field import MS, SECOND, roster, sends, settings
 
@@ -85,7 +85,7 @@
             for worker in node.workers.values():  # as later: each holds some of every class
                 Token(table, worker)
             hear(node, SECOND, {})  # the size of every server is known
-        home = members[0]._homes_of(_request(members[0]))[0].name
+        home = members[0]._affinity_workers(_request(members[0]))[0].name
         for step in range(1, 7):  # what is believed of a server follows a few reports
             for node in members:
                 hear(node, (1 + step) * SECOND, {home: 1.5 * SLOTS + step / 10})
@@ -250,7 +250,7 @@
             self.assertEqual(hashing.call_count, 0)
             node.handle(SECOND, [api.RosterUpdate(
                 api.RosterMode.PARTIAL, (api.RosterEntry("new", "a", "m"),))])
-            self.assertEqual(hashing.call_count, MARKS)
+            self.assertEqual(hashing.call_count, POINTS_PER_WORKER)
 
     def test_it_is_the_same_whichever_way_it_came_about(self) -> None:
         chance, ring, names = Random(5), Ring(), {f"s{n}" for n in range(30)}
@@ -260,12 +260,12 @@
             else:  # half of them, made in one pass
                 names = {f"s{n}" for n in range(30) if chance.random() < 0.5}
             last, version = ring.names, ring.version
-            ring.hold(names)
+            ring.set_workers(names)
             anew = Ring()
-            anew.hold(names)
-            self.assertEqual(ring.places, anew.places)
+            anew.set_workers(names)
+            self.assertEqual(ring.points, anew.points)
             self.assertEqual(ring.version > version, names != last)
-        self.assertEqual(len(ring.places), MARKS * len(names))
+        self.assertEqual(len(ring.points), POINTS_PER_WORKER * len(names))
 
 
 class HomesInTheZone(unittest.TestCase):
@@ -278,7 +278,7 @@
         for worker in node.workers.values():
             Token(table, worker)
         hear(node, SECOND, {})
-        self.homes = [w.name for w in node._homes_of(_request(node))[:4]]
+        self.homes = [w.name for w in node._affinity_workers(_request(node))[:4]]
         (send,) = sends(node.handle(SECOND, [api.Arrival("job", "safe", 6 * SECOND, key="popular")]))
         return next(entry for entry in entries if entry.worker == send.worker)
 
@@ -329,9 +329,9 @@
                         Token(table, worker)
             for step in range(6):
                 hear(node, second + step, {"new": held_there, **{f"w{n}": held for n in range(20)}})
-            node.workers["new"].heard_us -= heard_ago
-            node.others = [1.5]
-            node.workers["new"].cold_next_us = second  # its turn has come while nothing waited here
+            node.workers["new"].last_report_us -= heard_ago
+            node.mean_others = [1.5]
+            node.workers["new"].next_cold_turn_us = second  # its turn has come while nothing waited here
             actions = node.handle(second + 10, [api.Arrival("job", "safe", second + 6 * SECOND)])
             for at, handle in sorted((a.delay_us, a.handle) for a in actions if isinstance(a, api.SetTimer)):
                 if at < 200 * MS:
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -19,8 +19,8 @@
     dispatcher.mean = [0.5]
     workers = [dispatcher.workers[f"w{i}"] for i in range(3)]
     for worker, size, away in zip(workers, (1.0, 3.0, 4.0), (0.04, -0.04, 0.03), strict=True):
-        worker.size, worker.heard_us = [size], dispatcher.now
-        worker.free, worker.others = [0.0], [size * (0.5 + away)]
+        worker.size, worker.last_report_us = [size], dispatcher.now
+        worker.free, worker.others_used = [0.0], [size * (0.5 + away)]
     one, two, three = workers
     assert dispatcher.pair_gain(one, two) == pytest.approx(0.04)
     assert dispatcher.pair_gain(two, three) == pytest.approx(0.07)
@@ -33,8 +33,8 @@
     dispatcher.mean, dispatcher.spread = [0.5, 0.5], 0.1
     workers = [dispatcher.workers["w0"], dispatcher.workers["w1"]]
     for worker, free in zip(workers, ([1.0, 9.0], [9.0, 1.0]), strict=True):
-        worker.size, worker.free, worker.heard_us = [10.0, 10.0], free, dispatcher.now
-        worker.others = [10.0 - figure for figure in free]
+        worker.size, worker.free, worker.last_report_us = [10.0, 10.0], free, dispatcher.now
+        worker.others_used = [10.0 - figure for figure in free]
     tokens = []
     for worker, name, needs in zip(workers, ("slots", "memory"), ((2.0, 0.1), (0.1, 2.0)), strict=True):
         table = dispatcher.tables[name]
@@ -55,8 +55,8 @@
     heavy, light = dispatcher.workers["w0"], dispatcher.workers["w1"]
     table = dispatcher.tables["safe"]
     for worker, free in ((heavy, 0.0), (light, 10.0)):
-        worker.size, worker.free, worker.heard_us = [10.0], [free], dispatcher.now
-        worker.others = [10.0 - free]
+        worker.size, worker.free, worker.last_report_us = [10.0], [free], dispatcher.now
+        worker.others_used = [10.0 - free]
     token = Token(table, heavy)
     dispatcher._trade([heavy, light])
     assert token.holder is light
@@ -143,7 +143,7 @@
 def test_a_waiting_line_is_polled_by_the_run_time_not_faster() -> None:
     """Found on almaty-orders: dispatchers that polled fast all chased one stale figure."""
     field = Recorder(settings(may_probe=True), roster(1, zones="a"))
-    field.dispatcher.run_us = 4.0 * SECOND
+    field.dispatcher.mean_run_us = 4.0 * SECOND
     for at in range(5):
         field.arrive(f"r{at}")
         field.feed(api.ProbeEnded("w0", api.Status.OK, 500, report(0)))
@@ -188,10 +188,10 @@
         field.arrive(f"r{at}", tenant="t")
         for request, number, _ in field.out():
             field.finish(request, number, api.Status.OK, report(5))
-    marks = [field.dispatcher._over_share("t") for _ in range(200)]
+    marks = [field.dispatcher._exceeds_share("t") for _ in range(200)]
     assert 120 < sum(marks) < 200
     field.arrive("within")
     within = field.dispatcher.requests["within"]
     over = type(within)(api.Arrival("over", "safe", field.now + SECOND), within.table, field.now)
     over.over_share = True
-    assert field.dispatcher._rank(within) > field.dispatcher._rank(over)
+    assert field.dispatcher._priority(within) > field.dispatcher._priority(over)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -153,5 +153,5 @@
         dispatcher.handle(2, [api.Arrival(name, "safe", 5 * SECOND, effort_us=effort)])
         request = dispatcher.requests[name]
         request.attempts.clear()
-        worker.cold_next_us = 1  # its turn has come
+        worker.next_cold_turn_us = 1  # its turn has come
         assert dispatcher.allowed(request, worker) is may
--- a/tests/test_unlisted.py
+++ b/tests/test_unlisted.py
@@ -39,7 +39,7 @@
         field.finish(request, number, api.Status.TIMEOUT)
     field.probes.clear()
     for worker in field.dispatcher.workers.values():
-        assert worker.probe_us is None or field.feed(
+        assert worker.probe_sent_us is None or field.feed(
             api.ProbeEnded(worker.name, api.Status.TIMEOUT, 250 * MS)) is None
     healthy(field, 20)
     assert healthy(field, 5) >= 90
