--- a/arrowfold/choice.py
+++ b/arrowfold/choice.py
@@ -24,7 +24,7 @@
 AFFINITY_MAX_LOAD = 1.8  # limit of its total load, penalties included; approaches 1 in a large fleet
 REFUSAL_PAUSE_FACTOR = 0.05  # after a refusal, affinity is suspended for this fraction of a mean run time
 REFUSAL_LIMIT = 2  # a request refused this often waits in this dispatcher's queue
-SMALL_FLEET = 12  # up to this many dispatchers, own requests and own queue tell enough about a worker
+SMALL_FLEET = 12  # up to this many dispatchers, own requests and own queue show enough of a worker's load
 PROMPT_FACTOR = 0.25  # an attempt that starts later than this fraction of the objective was queued
 PROMPT_SHARE = 0.6  # above this share of prompt starts, another worker most likely starts a request at once
 MAX_QUEUE = 0.65  # a worker's queue is joined up to this fraction of its size
@@ -136,8 +136,8 @@
         worker = self.workers.setdefault(entry.worker, Worker(entry.worker))
         if entry.launched_us != worker.launched_us:
             # A restarted process: what is known of the previous one, or arrives late, must not affect it.
-            last, worker = worker, Worker(entry.worker)
-            worker.tokens, worker.launched_us, last.serving = last.tokens, entry.launched_us, False
+            previous, worker = worker, Worker(entry.worker)
+            worker.tokens, worker.launched_us, previous.serving = previous.tokens, entry.launched_us, False
             for token in worker.tokens:
                 token.holder = worker
             self.workers[entry.worker] = worker
@@ -147,9 +147,9 @@
 
     def _on_settings(self, event: api.SettingsChanged) -> None:
         """Applies new settings; open requests keep their class, kept tables their tokens and measurements."""
-        new, last, self.settings = event.settings, self.tables, event.settings
-        self.tables = {c.name: last.get(c.name) or Table(c, RATE_SPAN_US) for c in new.classes}
-        dropped = [t for name, t in last.items() if name not in self.tables]
+        new, previous, self.settings = event.settings, self.tables, event.settings
+        self.tables = {c.name: previous.get(c.name) or Table(c, RATE_SPAN_US) for c in new.classes}
+        dropped = [t for name, t in previous.items() if name not in self.tables]
         for cls in new.classes:
             self.queues.setdefault(cls.kind, [])
             if self.tables[cls.name].cls.kind != cls.kind:
@@ -196,7 +196,7 @@
 
     def _take_cold_turn(self, worker: Worker) -> None:
         self.counters["cold_turns"] += worker.serving and self._warmth(worker) < 1.0
-        if self._load(worker, 0) < 1 or self._visibility() < 1:  # a large fleet's figure is outdated
+        if self._load(worker, 0) < 1 or self._visibility() < 1:  # outdated in a large fleet
             self._pull(worker)
 
     def _send_to_cold(self, request: Request) -> bool:
@@ -273,8 +273,8 @@
     def _has_capacity(self, worker: Worker, request: Request) -> bool:
         if worker.free is None:
             return self._load(worker, 0) < 1  # no report yet: the mean, and penalties of unanswered probes
-        asked, size = (request.slots, request.memory), self._size(worker)
-        return all(size[k] * (1 - self._load(worker, k)) >= asked[k] for k in range(len(self.mean)))
+        needed, size = (request.slots, request.memory), self._size(worker)
+        return all(size[k] * (1 - self._load(worker, k)) >= needed[k] for k in range(len(self.mean)))
 
     def _take_report(self, worker: Worker, report: api.LoadReport | None) -> None:
         if report is None or report.free_slots is None:
@@ -284,8 +284,8 @@
             # Shared by a kind, as one report of a busy worker shows only a fraction of its size.
             worker.size = self.size_by_kind.setdefault(worker.kind or worker.name, [1.0] * len(free))
         # With two slots free none wait, so each request that it holds has at least one slot.
-        seen = [round(free[0]) + round(report.held or 0) if free[0] >= 1.5 else free[0], *free[1:]]
-        for k, figure in enumerate(seen):
+        sizes = [round(free[0]) + round(report.held or 0) if free[0] >= 1.5 else free[0], *free[1:]]
+        for k, figure in enumerate(sizes):
             worker.size[k] = max(worker.size[k], figure)
         worker.free, worker.last_report_us, worker.errors_per_s = free, self.now, report.errors or 0.0
         worker.update_lag(self.now)
@@ -382,8 +382,8 @@
             # Not in the settings, so it is unknown whether repeats are safe: refused unsent.
             self.actions.append(api.Refuse(event.request))
             return
-        cap = self.settings.attempt_cap
-        request = self.requests[event.request] = Request(event, table, self.now, cap)
+        attempt_cap = self.settings.attempt_cap
+        request = self.requests[event.request] = Request(event, table, self.now, attempt_cap)
         table.rate.count(self.now)
         request.over_share = self._exceeds_share(event.tenant)
         table.slots += 0.05 * (request.slots - table.slots)
@@ -392,8 +392,8 @@
         self._set_timer(event.deadline_us - self.now - self.settings.tick_us, self._end, request)
         if self._visibility() < 1:  # a client's retry has less time left than its class gives
             request.estimate_first_try(self.now)
-        least, late = min(c.worth for c in self.settings.classes), table.cls.worth * table.cls.late_share
-        if request.was_late and not self._starts_promptly() and late < least:
+        lowest, if_late = min(c.worth for c in self.settings.classes), table.cls.worth * table.cls.late_share
+        if request.was_late and not self._starts_promptly() and if_late < lowest:
             self._end(request)  # keeps capacity for requests that can still be in time
         elif len(self.queues[table.cls.kind]) < LONG_QUEUE:
             self._seek(request)
@@ -419,18 +419,18 @@
         else:
             self._widen_search(request, local=True)
 
-    def _accepts_affinity(self, preferred: Worker) -> bool:
+    def _accepts_affinity(self, worker: Worker) -> bool:
         """Limits a popular key's load on an affinity worker, by own requests (exact) and reported load."""
-        return preferred.out[0] <= 1 + AFFINITY_FACTOR * self.in_flight / max(1, self.fleet) \
-            and self._load(preferred, 0) < 1 + (AFFINITY_MAX_LOAD - 1) * self._visibility() \
-            and self.now - preferred.refused_us >= REFUSAL_PAUSE_FACTOR * self.mean_run_us
+        return worker.out[0] <= 1 + AFFINITY_FACTOR * self.in_flight / max(1, self.fleet) \
+            and self._load(worker, 0) < 1 + (AFFINITY_MAX_LOAD - 1) * self._visibility() \
+            and self.now - worker.refused_us >= REFUSAL_PAUSE_FACTOR * self.mean_run_us
 
     def _visibility(self) -> float:
-        """Below 1 in a large fleet of dispatchers, where own requests show little of a worker's load."""
+        """Returns less than 1 in a large fleet, where own requests show little of a worker's load."""
         return min(1.0, SMALL_FLEET / self.settings.fleet_size)
 
     def _lacks_load_reports(self) -> bool:
-        """A large fleet without load reports: affinity would overfill workers, and a cancel only resend."""
+        """Returns if a large fleet lacks reports: affinity would overfill workers, a cancel only resend."""
         return self._visibility() < 1 and not self.settings.tells_load
 
     def _draw_token(self, request: Request, tried: list[Worker]) -> Token[Worker] | None:
@@ -527,7 +527,7 @@
         return self.random.random() > quota / self.tenant_rates[tenant].now(self.now)
 
     def _priority(self, request: Request) -> float:
-        """Returns the rank of a queued request, highest first: value, by default per expected work."""
+        """Returns the priority of a queued request: its value per expected work; the highest goes first."""
         cls, work = request.cls, max(1.0, request.work_us() * request.slots)
         worth = cls.worth * (self.settings.over_share_worth if request.over_share else 1.0)
         worth *= cls.late_share if request.was_late else 1.0
--- a/arrowfold/interface.py
+++ b/arrowfold/interface.py
@@ -121,9 +121,9 @@
     """The settings of a dispatcher. Raises ValueError if they are inconsistent.
 
     `may_probe`, `may_cancel`, `second_copies` (hedged attempts), `attempt_cap` and `retry_after` are
-    permissions. `cold_from`, `cold_us`, `overload_factor` and `overload_for_us` describe a worker's warm-up: it
-    starts with the fraction `cold_from` of its capacity, reaches all of it after `cold_us`, and must not get
-    more than `overload_factor` times its current capacity over `overload_for_us`.
+    permissions. `cold_from`, `cold_us`, `overload_factor` and `overload_for_us` describe the warm-up of a
+    worker: it starts with the fraction `cold_from` of its capacity, reaches all of it after `cold_us`, and
+    must not get more than `overload_factor` times its current capacity over `overload_for_us`.
     """
 
     classes: tuple[RequestClass, ...]
--- a/tests/field.py
+++ b/tests/field.py
@@ -1,4 +1,4 @@
-"""Shared pieces of the tests: settings, rosters, and a recorder that holds each action against the rules."""
+"""Shared test fixtures: settings, rosters, and a recorder that checks each action against the rules."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of an ordinary deployment, with changes."""
+    """Returns the settings of an ordinary deployment, with changes."""
     base: dict[str, Any] = {
         "classes": CLASSES, "zone": "a", "attempt_cap": 4, "tick_us": 2 * MS, "may_cancel": True,
         "load_source": api.LoadSource.ANSWERS, "ask_within_us": 10 * SECOND, "answer_slack_us": 10 * MS}
@@ -29,14 +29,14 @@
 def roster(
         count: int, *, zones: str = "ab", launched_us: int = 0, first: int = 0,
 ) -> tuple[api.RosterEntry, ...]:
-    """Entries of some workers, their zones and cells taken in turn."""
+    """Returns roster entries of `count` workers, assigned to zones and cells in rotation."""
     return tuple(
         api.RosterEntry(f"w{i}", zones[i % len(zones)], "std", i % 3, launched_us)
         for i in range(first, first + count))
 
 
 def started(conf: Settings, entries: tuple[api.RosterEntry, ...], seed: int = 1) -> Dispatcher:
-    """A dispatcher that has its list."""
+    """Returns a dispatcher that has received its roster."""
     dispatcher = Dispatcher(conf, seed)
     dispatcher.handle(0, [api.RosterUpdate(api.RosterMode.COMPLETE, entries)])
     return dispatcher
@@ -47,7 +47,7 @@
 
 
 class Recorder:
-    """Feeds one dispatcher, keeps its timers, and checks every action against rules 1 to 3 from outside."""
+    """Drives one dispatcher, keeps its timers, and checks every action against rules 1 to 3 independently."""
 
     def __init__(self, conf: Settings, entries: tuple[api.RosterEntry, ...], seed: int = 1) -> None:
         self.conf, self.dispatcher, self.now = conf, Dispatcher(conf, seed), 0
@@ -81,8 +81,8 @@
             listed = {e.worker: e for e in event.entries}
             if event.mode is not api.RosterMode.PARTIAL:
                 for worker, entry in self.entries.items():
-                    gone = api.RosterEntry(worker, entry.zone, lifecycle=api.Lifecycle.TERMINATED)
-                    self.entries[worker] = listed.get(worker, gone)
+                    removed = api.RosterEntry(worker, entry.zone, lifecycle=api.Lifecycle.TERMINATED)
+                    self.entries[worker] = listed.get(worker, removed)
             self.entries.update(listed)
 
     def _check(self, action: api.Action) -> None:
@@ -100,20 +100,20 @@
         elif isinstance(action, api.Cancel):
             assert action.attempt < len(self.attempts[action.request])
 
-    def _maybe_ran(self, request: str) -> list[dict[str, Any]]:
+    def _may_have_run(self, request: str) -> list[dict[str, Any]]:
         return [a for a in self.attempts[request] if a["status"] is None or not a["status"].never_ran]
 
     def _check_send(self, action: api.Send) -> None:
         arrival = self.requests[action.request]
         cls = self.classes[arrival.request_class]
-        assert action.request not in self.closed, "sent after the end"
+        assert action.request not in self.closed, "sent after the final answer"
         assert self.now < arrival.deadline_us
         entry = self.entries[action.worker]
-        assert entry.lifecycle is api.Lifecycle.IN_SERVICE, "sent to a worker told to be leaving"
+        assert entry.lifecycle is api.Lifecycle.IN_SERVICE, "sent to a worker that is leaving"
         earlier = self.attempts[action.request]
         assert len(earlier) < self.conf.attempt_cap
-        assert self.conf.second_copies or all(a["status"] for a in earlier), "two copies out"
-        for attempt in self._maybe_ran(action.request):
+        assert self.conf.second_copies or all(a["status"] for a in earlier), "two attempts in flight"
+        for attempt in self._may_have_run(action.request):
             if cls.idempotency is api.Idempotency.UNSAFE:
                 raise AssertionError("an unsafe request went out twice")
             if cls.idempotency is api.Idempotency.KEYED:
@@ -127,12 +127,12 @@
     def _check_refusal(self, request: str) -> None:
         cls = self.classes[self.requests[request].request_class]
         if cls.idempotency is api.Idempotency.UNSAFE:
-            assert not self._maybe_ran(request), "refused what may have run"
+            assert not self._may_have_run(request), "refused what may have run"
         if cls.idempotency is api.Idempotency.KEYED and cls.group != "all":
-            assert not self._maybe_ran(request), "refused what may have run in one group only"
+            assert not self._may_have_run(request), "refused what may have run in one group only"
 
     def advance(self, to_us: int) -> None:
-        """Let the clock go to a time, timers firing on the way."""
+        """Advances the clock to a time; timers fire on the way."""
         while due := [t for t in self.timers if t[0] <= to_us]:
             first = min(due)
             self.timers.remove(first)
@@ -145,7 +145,7 @@
         self.feed(api.Arrival(name, request_class, deadline, **fields))
 
     def out(self) -> list[tuple[str, int, str]]:
-        """Attempts whose outcome has not come: request, number, worker."""
+        """Returns the attempts in flight: request, number, worker."""
         return [(r, n, a["worker"]) for r, tries in self.attempts.items()
                 for n, a in enumerate(tries) if a["status"] is None]
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""What the module keeps stays bounded, whatever it is told."""
+"""Bounds of a dispatcher's memory and load estimates; queues, cold turns and affinity workers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 class Bounds(unittest.TestCase):
-    def test_servers_that_never_come_back_are_forgotten_and_the_others_serve_on(self) -> None:
-        """Guards the memory: Faktory workers come under ever new names, and each once stayed known."""
+    def test_removed_workers_are_forgotten_and_others_still_serve(self) -> None:
+        """Faktory workers register under ever new names, which filled the memory when none was forgotten."""
         dispatcher = started(settings(), roster(2))
         for n in range(1000):
             for state in (api.Lifecycle.IN_SERVICE, api.Lifecycle.TERMINATED):
@@ -24,8 +24,8 @@
 
 
 class Load(unittest.TestCase):
-    def test_a_report_told_again_does_not_hide_what_was_sent_since(self) -> None:
-        """Guards against herds: each answer repeats one old report, and once reset what had been sent."""
+    def test_a_repeated_report_does_not_hide_attempts_sent_since(self) -> None:
+        """Answers repeat an old report; when each reset the load, all requests went to that worker."""
         field = Recorder(settings(), roster(1, zones="a"))
         (worker,) = field.dispatcher.workers.values()
         same = api.LoadReport(free_slots=6, held=0)
@@ -35,15 +35,15 @@
         field.finish("r0", 0, api.Status.OK, same)
         field.finish("r1", 0, api.Status.OK, same)
         self.assertGreaterEqual(field.dispatcher._load(worker, 0), 3 / 6)
-        # What others have there is what it holds beyond our own, those that wait there counted in.
+        # Others' share is what the worker holds beyond own requests, including those queued there.
         for n in range(40):
             field.advance(field.now + SECOND // 2)
             field.feed(api.ProbeEnded(worker.name, api.Status.OK, 500, api.LoadReport(0, held=9 + n % 2)))
         self.assertAlmostEqual(worker.others_used[0], 6.5, delta=1)
 
 
-    def test_a_newcomer_soon_knows_how_large_servers_are(self) -> None:
-        """Guards the time after a start: who was only seen busy counted as a fraction of its size."""
+    def test_sizes_are_known_soon_after_a_start(self) -> None:
+        """A worker that has only been seen busy must not count as a fraction of its size."""
         field = Recorder(settings(may_probe=True), roster(3, zones="a"))
         one, two, _ = field.dispatcher.workers.values()
         field.feed(api.ProbeEnded(one.name, api.Status.OK, 500, api.LoadReport(free_slots=2.02, held=3.1)))
@@ -52,25 +52,26 @@
         self.assertEqual(sizes, [5, 5, 5])
 
 
-    def test_a_line_is_looked_at_in_time_however_long_jobs_run(self) -> None:
-        """Guards work among long jobs: looks were an eighth of a run apart and more, beside free slots."""
+    def test_a_queue_is_polled_in_time_however_long_requests_run(self) -> None:
+        """With long requests, polls were an eighth of a run time apart or more, while slots were free."""
         patient = (api.RequestClass("safe", 4 * SECOND, 5 * SECOND),)
         field = Recorder(settings(may_probe=True, classes=patient), roster(2, zones="a"))
-        module = field.dispatcher
-        module.mean_run_us, module.tables["safe"].run_us = 20.0 * SECOND, 1.0 * SECOND  # of all, of this
+        dispatcher = field.dispatcher
+        # Of all requests, and of this class.
+        dispatcher.mean_run_us, dispatcher.tables["safe"].run_us = 20.0 * SECOND, 1.0 * SECOND
         full, free = api.LoadReport(free_slots=0, held=9), api.LoadReport(free_slots=5, held=4)
 
         def answer(report: api.LoadReport) -> None:
             while field.probes:
                 field.feed(api.ProbeEnded(field.probes.pop(0), api.Status.OK, 500, report))
 
-        for worker in list(module.workers):
+        for worker in list(dispatcher.workers):
             field.feed(api.ProbeEnded(worker, api.Status.OK, 500, full))
-        field.arrive("first")  # a server is tried once, whatever it says, while nothing is out
+        field.arrive("first")  # with nothing in flight a worker is tried whatever it reports
         for nth in range(3):
             field.arrive(f"r{nth}")
             answer(full)
-        waiting = sum(map(len, module.queues.values()))
+        waiting = sum(map(len, dispatcher.queues.values()))
         self.assertGreater(waiting, 0)
         begun, sent = field.now, len(field.sent)
         while len(field.sent) < sent + waiting and field.now < begun + 4 * SECOND:
@@ -78,8 +79,8 @@
             answer(free)
         self.assertLess(field.now - begun, 3 * SECOND)
 
-    def test_a_cold_servers_turn_pulls_a_job_that_waits(self) -> None:
-        """Guards those who wait: its turn once passed unless one of them looked for room just then."""
+    def test_a_turn_at_a_cold_worker_serves_a_queued_request(self) -> None:
+        """A turn was lost unless a queued request happened to search at that moment."""
         cold = settings(cold_us=9 * SECOND, cold_from=0.4, overload_factor=3.0, overload_for_us=SECOND)
         field = Recorder(cold, roster(1, zones="a"))
         for n in range(3):
@@ -91,7 +92,7 @@
         self.assertLess(len(field.sent), 20)
         entry = api.RosterEntry("w1", "a", "std", launched_us=field.now)
         field.feed(api.RosterUpdate(api.RosterMode.PARTIAL, (entry,)))
-        field.timers.clear()  # nothing ends, and nobody who waits looks by himself
+        field.timers.clear()  # no attempt ends, and no queued request searches
         field.dispatcher.actions = []
         field.dispatcher._schedule_cold_turn(field.dispatcher.workers["w1"], SECOND / 5)
         for action in field.dispatcher.actions:
@@ -101,8 +102,8 @@
 
 
 class Keys(unittest.TestCase):
-    def test_a_free_slot_pulls_the_waiting_job_whose_key_it_keeps(self) -> None:
-        """Guards against fetches: pulled by worth alone, waiting jobs went where their shard was not kept."""
+    def test_a_freed_slot_serves_the_queued_request_with_affinity(self) -> None:
+        """Chosen by value alone, queued requests went to workers that had to fetch their data first."""
         field = Recorder(settings(may_probe=True), roster(8, zones="a"))
         dispatcher = field.dispatcher
         field.arrive("first")
@@ -113,15 +114,15 @@
         keys: dict[bool, str] = {}
         for n in range(200):
             probe = Request(api.Arrival("x", "safe", SECOND, f"k{n}"), dispatcher.tables["safe"], 0)
-            homes = dispatcher._affinity_workers(probe)
-            if worker is homes[0] or worker not in homes[:CANDIDATES]:
-                keys.setdefault(worker is homes[0], f"k{n}")
-        for n in range(9):  # others fill them all, and more wait there
+            affinity = dispatcher._affinity_workers(probe)
+            if worker is affinity[0] or worker not in affinity[:CANDIDATES]:
+                keys.setdefault(worker is affinity[0], f"k{n}")
+        for n in range(9):  # other dispatchers fill all workers and their queues
             for name in dispatcher.workers:
-                told = api.LoadReport(free_slots=0, held=20 + n)
-                field.feed(api.ProbeEnded(name, api.Status.OK, 500, told))
-        for home in (False, True):  # the stranger waits first
-            field.arrive(f"waits-{home}", key=keys[home])
+                full = api.LoadReport(free_slots=0, held=20 + n)
+                field.feed(api.ProbeEnded(name, api.Status.OK, 500, full))
+        for is_affine in (False, True):  # the one without affinity is queued first
+            field.arrive(f"waits-{is_affine}", key=keys[is_affine])
             while field.probes:
                 name = field.probes.pop()
                 full = api.LoadReport(free_slots=0, held=20)
@@ -130,8 +131,8 @@
         field.finish("first", 0, api.Status.OK, api.LoadReport(free_slots=1))
         self.assertEqual([(s.request, s.worker) for s in field.sent[1:]], [("waits-True", worker.name)])
 
-    def test_every_dispatcher_sends_a_key_to_one_home_and_what_is_too_much_to_the_next(self) -> None:
-        """Guards against fetches: drawn by chance alone, a key's jobs went to every server."""
+    def test_every_dispatcher_sends_a_key_to_the_same_worker_and_its_excess_to_the_next(self) -> None:
+        """With random draws alone, a key's requests went to every worker, and each fetched its data."""
         met: set[tuple[str, ...]] = set()
         for seed in range(4):
             field = Recorder(settings(), roster(8, zones="a"), seed=seed)
@@ -149,8 +150,8 @@
         self.assertEqual(workers[0], workers[1])
         self.assertNotEqual(workers[1], workers[2])
 
-    def test_a_request_that_was_turned_away_twice_waits_here(self) -> None:
-        """Guards its last attempts: four were burnt within a round trip while every queue was full."""
+    def test_a_request_that_was_refused_twice_is_queued_here(self) -> None:
+        """Four attempts were used up within a round trip while every worker's queue was full."""
         field = Recorder(settings(), roster(8, zones="a"))
         field.arrive("r", key="repo")
         for number in range(2):
@@ -160,8 +161,8 @@
         field.advance(field.now + SECOND)
         self.assertEqual(len(field.sent), 3, "and is sent again once slots have turned over")
 
-    def test_each_server_is_first_home_of_about_its_share_of_keys(self) -> None:
-        """Guards against an uneven ring: with few places on it, chance decided the shares."""
+    def test_each_worker_is_the_first_affinity_worker_of_about_its_share_of_keys(self) -> None:
+        """With few points per worker on the ring, the shares were uneven."""
         dispatcher = started(settings(), roster(9))
         counts = dict.fromkeys(dispatcher.workers, 0)
         for n in range(3000):
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -1,4 +1,4 @@
-"""The market: token counts, trades, the thesis's worked figures."""
+"""The token market: token counts, trades, and the worked example of the thesis."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
     return api.LoadReport(free_slots=slots, free_memory=memory)
 
 
-def test_the_worked_figures_of_the_thesis_pair_servers_two_and_three() -> None:
+def test_the_example_of_the_thesis_pairs_workers_two_and_three() -> None:
     """Figure 4.3: capacities 1:3:4, loads +4, -4 and +3 against the mean; gains 4 and 7."""
     dispatcher = started(settings(), roster(3))
     dispatcher.mean = [0.5]
     workers = [dispatcher.workers[f"w{i}"] for i in range(3)]
-    for worker, size, away in zip(workers, (1.0, 3.0, 4.0), (0.04, -0.04, 0.03), strict=True):
+    for worker, size, deviation in zip(workers, (1.0, 3.0, 4.0), (0.04, -0.04, 0.03), strict=True):
         worker.size, worker.last_report_us = [size], dispatcher.now
-        worker.free, worker.others_used = [0.0], [size * (0.5 + away)]
+        worker.free, worker.others_used = [0.0], [size * (0.5 + deviation)]
     one, two, three = workers
     assert dispatcher.pair_gain(one, two) == pytest.approx(0.04)
     assert dispatcher.pair_gain(two, three) == pytest.approx(0.07)
 
 
-def exchange_field() -> tuple[list[Worker], list[Token]]:
-    """Two workers even in sum, each full in one resource, with a token that needs what it lacks."""
+def traded_exchangers() -> tuple[list[Worker], list[Token]]:
+    """Returns two workers of equal total load, each full in one resource, after a trade of their tokens."""
     classes = tuple(api.RequestClass(name, 300 * MS, 5 * SECOND) for name in ("slots", "memory"))
     dispatcher = started(settings(classes=classes, reports_memory=True), roster(2, zones="a"))
     dispatcher.mean, dispatcher.spread = [0.5, 0.5], 0.1
@@ -44,12 +44,12 @@
     return workers, tokens
 
 
-def test_exchangers_swap_the_tokens_that_fill_what_the_other_lacks() -> None:
-    workers, tokens = exchange_field()
+def test_exchangers_swap_tokens_that_need_what_the_other_has_free() -> None:
+    workers, tokens = traded_exchangers()
     assert [t.holder for t in tokens] == workers[::-1]
 
 
-def test_a_sender_gives_and_a_receiver_pulls() -> None:
+def test_a_token_moves_from_a_sender_to_a_receiver() -> None:
     dispatcher = started(settings(), roster(3, zones="a"))
     dispatcher.mean, dispatcher.spread = [0.5], 0.1
     heavy, light = dispatcher.workers["w0"], dispatcher.workers["w1"]
@@ -82,7 +82,7 @@
     assert len(table.tokens) >= 1
 
 
-def test_a_class_bound_to_a_kind_keeps_to_it() -> None:
+def test_a_class_bound_to_a_kind_uses_only_its_workers() -> None:
     classes = (api.RequestClass("bound", 300 * MS, 5 * SECOND, kind="big"),)
     entries = tuple(api.RosterEntry(f"w{i}", "a", "big" if i % 3 == 0 else "small") for i in range(9))
     field = Recorder(settings(classes=classes), entries)
@@ -94,7 +94,7 @@
             field.finish(request, number, api.Status.OK, report(4))
 
 
-def test_tokens_of_a_draining_worker_go_elsewhere_at_once() -> None:
+def test_tokens_of_a_draining_worker_move_at_once() -> None:
     field = Recorder(settings(), roster(3))
     for at in range(30):
         field.advance(field.now + 50 * MS)
@@ -108,7 +108,7 @@
 
 
 def test_a_restart_from_a_persisted_list_spreads_its_first_burst() -> None:
-    """Guards against a stampede: nothing is known yet, so chance decides, not the order of the list."""
+    """Without load reports the choice must be random: by list order all dispatchers would pick one worker."""
     firsts = set()
     for seed in range(30):
         dispatcher = started(settings(), roster(10, zones="a"), seed)
@@ -116,7 +116,7 @@
     assert len(firsts) >= 7
 
 
-def test_a_failing_worker_is_shunned_and_taken_back() -> None:
+def test_the_penalty_of_a_failed_worker_rises_and_decays() -> None:
     dispatcher = started(settings(), roster(2, zones="a"))
     worker = dispatcher.workers["w0"]
     before = dispatcher._load(worker, 0)
@@ -126,8 +126,8 @@
     assert dispatcher._load(worker, 0) == pytest.approx(before, abs=0.01)
 
 
-def test_own_completions_pull_waiting_requests() -> None:
-    """Found on jammed days: each request that probed and bounced by itself swamped the workers."""
+def test_a_completed_request_starts_a_queued_one() -> None:
+    """In overload, a search by each waiting request would flood the workers with probes and attempts."""
     field = Recorder(settings(may_probe=True), roster(1, zones="a"))
     field.arrive("first")
     field.feed(api.ProbeEnded("w0", api.Status.OK, 500, report(1)))
@@ -140,8 +140,8 @@
     assert [s.request for s in field.sent] == ["first", "second"]
 
 
-def test_a_waiting_line_is_polled_by_the_run_time_not_faster() -> None:
-    """Found on almaty-orders: dispatchers that polled fast all chased one stale figure."""
+def test_a_queue_is_polled_no_faster_than_requests_run() -> None:
+    """Polled faster, all dispatchers would follow the same stale load report (found on almaty-orders)."""
     field = Recorder(settings(may_probe=True), roster(1, zones="a"))
     field.dispatcher.mean_run_us = 4.0 * SECOND
     for at in range(5):
@@ -152,10 +152,10 @@
     assert len(field.probes) == before
 
 
-def test_a_request_that_cannot_start_in_time_is_refused_not_held() -> None:
-    """Found on south-prod: late work kept the fleet full to the end of the day."""
+def test_a_request_that_cannot_start_in_time_is_refused_not_queued() -> None:
+    """Late work would delay the requests after it and keep all workers full (found on south-prod)."""
     field = Recorder(settings(may_probe=True), roster(1, zones="a"))
-    field.arrive("first")  # with nothing out at all, figures would not be believed
+    field.arrive("first")  # with nothing in flight, reports would not be relied on
     field.feed(api.ProbeEnded("w0", api.Status.OK, 500, report(1)))
     field.advance(200 * MS)
     field.arrive("r")
@@ -165,7 +165,7 @@
     assert field.closed.get("r") == "Refuse" and len(field.sent) == 1
 
 
-def test_settings_that_cannot_be_served_raise() -> None:
+def test_inconsistent_settings_raise() -> None:
     for changes in ({"classes": ()}, {"attempt_cap": 0}, {"cold_us": -1}, {"cold_from": 0.0}):
         with pytest.raises(ValueError, match=r"\w"):
             settings(**changes)
@@ -180,10 +180,10 @@
     assert field.dispatcher.workers["w0"].free == [3]
 
 
-def test_requests_over_their_tenants_share_go_last_when_room_is_short() -> None:
+def test_requests_over_their_tenants_share_are_queued_behind_others() -> None:
     conf = settings(tenants=(api.Tenant("t", 1.0, 10.0),), over_share_worth=0.1)
     field = Recorder(conf, roster(1, zones="a"))
-    for at in range(300):  # 100 a second, where 10 are within the share
+    for at in range(300):  # 100 per second, with a share of 10
         field.now += 10 * MS
         field.arrive(f"r{at}", tenant="t")
         for request, number, _ in field.out():
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Messages cut at any byte, on every wire; and connections that fall quiet."""
+"""Messages that arrive byte by byte, in every protocol."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.test_node import post
 
 
-def by_bytes(sock: socket.socket, data: bytes) -> None:
+def send_bytewise(sock: socket.socket, data: bytes) -> None:
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     for n in range(len(data)):
         sock.sendall(data[n:n + 1])
@@ -25,7 +25,7 @@
                 ("plain", post("plain", "Connection: close", length=4) + b"body"),
                 ("parts", post("parts", *rows, length=None) + b"2\r\nbo\r\n2;x=y\r\ndy\r\n0\r\n\r\n")):
             with socket.create_connection(("127.0.0.1", node.port), timeout=LONG) as sock:
-                by_bytes(sock, data)
+                send_bytewise(sock, data)
                 self.assertIn(b"s1:" + job.encode(), answer_of(sock))
         self.assertEqual([row[3] for row in worker.jobs], [b"body", b"body"])
 
@@ -52,10 +52,10 @@
             self.assertTrue(replies.readline().startswith(b"+HI"))
             for line in ('HELLO {"v":2}', "PUSH " + json.dumps(
                     {"jid": "j1", "jobtype": "search", "args": ["caf\u00e9"]}, ensure_ascii=False)):
-                by_bytes(sock, line.encode() + b"\r\n")
+                send_bytewise(sock, line.encode() + b"\r\n")
                 self.assertEqual(replies.readline(), b"+OK\r\n")
             self.assertEqual(node.counters()["answered_served"], 1)
-            # In standby a producer that asks nothing is sent away; the node stays.
+            # In standby an idle producer's connection is closed; the node keeps running.
             node.call("standby")
             self.assertEqual(replies.readline(), b"")
         self.assertEqual(node.call("active"), "ok active\n")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules over random orders of events; each is checked from outside by tests/field.py."""
+"""The four rules under random sequences of events; tests/field.py checks each action independently."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 
 def play(field: Recorder, steps: list[tuple[str, int]]) -> None:
-    """Random events; every action is held against the rules as it comes."""
+    """Plays random events; the recorder checks every action."""
     statuses = list(api.Status)
-    for at, (what, dice) in enumerate(steps):
-        if what == "arrive":
-            field.arrive(f"r{at}", field.conf.classes[dice % len(field.conf.classes)].name)
-        elif what == "end" and field.out():
-            request, number, _ = field.out()[dice % len(field.out())]
-            field.finish(request, number, statuses[dice % len(statuses)], api.LoadReport(free_slots=dice % 5))
-        elif what == "time":
-            field.advance(field.now + dice * 100)
-        elif what == "withdraw" and field.requests:
-            request = sorted(field.requests)[dice % len(field.requests)]
+    for at, (kind, draw) in enumerate(steps):
+        if kind == "arrive":
+            field.arrive(f"r{at}", field.conf.classes[draw % len(field.conf.classes)].name)
+        elif kind == "end" and field.out():
+            request, number, _ = field.out()[draw % len(field.out())]
+            field.finish(request, number, statuses[draw % len(statuses)], api.LoadReport(free_slots=draw % 5))
+        elif kind == "time":
+            field.advance(field.now + draw * 100)
+        elif kind == "withdraw" and field.requests:
+            request = sorted(field.requests)[draw % len(field.requests)]
             if request not in field.closed:
                 field.feed(api.Withdrawn(request))
-        elif what == "roster":
-            entries = roster(1 + dice % 6, first=dice % 4, zones="abc")
-            mode = api.RosterMode.COMPLETE if dice % 2 else api.RosterMode.PARTIAL
-            if dice % 3 == 0:
+        elif kind == "roster":
+            entries = roster(1 + draw % 6, first=draw % 4, zones="abc")
+            mode = api.RosterMode.COMPLETE if draw % 2 else api.RosterMode.PARTIAL
+            if draw % 3 == 0:
                 entries = tuple(replace(e, lifecycle=api.Lifecycle.TERMINATING) for e in entries)
             field.feed(api.RosterUpdate(mode, entries))
-        elif what == "probe" and field.probes:
+        elif kind == "probe" and field.probes:
             worker = field.probes.pop(0)
-            field.feed(api.ProbeEnded(worker, statuses[dice % 4], 900, api.LoadReport(free_slots=dice % 5)))
+            field.feed(api.ProbeEnded(worker, statuses[draw % 4], 900, api.LoadReport(free_slots=draw % 5)))
 
 
 @budget(max_examples=150, deadline=None, derandomize=True)
@@ -86,7 +86,7 @@
                 assert same(first, second)
 
 
-def test_rule_3_nothing_goes_to_a_worker_from_the_moment_it_is_told() -> None:
+def test_rule_3_nothing_is_sent_to_a_worker_once_it_is_reported_to_leave() -> None:
     dispatcher = started(settings(), roster(4))
     leaving = tuple(replace(e, lifecycle=api.Lifecycle.TERMINATING) for e in roster(3))
     arrivals = [api.Arrival(f"r{i}", "safe", 9 * SECOND) for i in range(20)]
@@ -103,7 +103,7 @@
     sent: list[int] = []
     for seed in range(fleet):
         field = Recorder(conf, roster(4), first + seed)
-        for at in range(8):  # what a warm worker takes is learned first
+        for at in range(8):  # first, the capacity of a warm worker becomes known
             field.arrive(f"warm{at}")
             request, number, _ = field.out()[0]
             field.now += 400 * MS
@@ -119,7 +119,7 @@
         work = 0.4 * sum(begin <= at < begin + window for at in sent)
         warmth = 0.3 + 0.7 * begin / (8 * SECOND)
         assert work <= 3.0 * warmth * slots * window / SECOND
-    assert sent, "a cold worker is used all the same"
+    assert sent, "a cold worker is not left unused"
 
 
 def test_a_restarted_worker_is_cold_again_and_launch_time_zero_is_warm() -> None:
@@ -131,7 +131,7 @@
     assert not sends(cold.handle(2, [api.Arrival("r", "safe", 5 * SECOND)]))
 
 
-def test_the_guard_bars_a_second_copy_a_further_attempt_and_a_finished_request() -> None:
+def test_hedges_beyond_the_cap_or_after_the_end_are_not_allowed() -> None:
     for changes, may in (({}, False), ({"second_copies": True}, True), (
             {"second_copies": True, "attempt_cap": 1}, False)):
         field = Recorder(settings(**changes), roster(2, zones="a"))
@@ -144,7 +144,7 @@
 
 
 def test_a_cold_worker_gets_no_request_that_alone_would_spend_its_budget() -> None:
-    """Found on kl-scripting: one heavy request was 13.9 times what a cold worker could do."""
+    """A single heavy request was 13.9 times the capacity of a cold worker (found on kl-scripting)."""
     conf = settings(cold_from=0.2, cold_us=20 * SECOND, overload_factor=2.5, overload_for_us=SECOND)
     dispatcher = started(conf, roster(2, zones="a", launched_us=1))
     worker = dispatcher.workers["w0"]
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The adapter: the wire whole, bad input, and the same actions wherever the instances run."""
+"""The simulator adapter: all messages, malformed input, and equal actions however instances are hosted."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
     return found
 
 
-def test_the_same_actions_whatever_the_hash_seed_and_the_spread_over_processes() -> None:
+def test_actions_depend_neither_on_the_hash_seed_nor_on_the_process() -> None:
     code, together, _ = run(session(["s-1", "s-2"]), seed="1")
     assert code == 0
     assert run(session(["s-1", "s-2"]), seed="2")[1] == together
@@ -97,7 +97,7 @@
         assert len(errors.strip().splitlines()) == 1
 
 
-def test_settings_it_cannot_serve_become_give_in_for_that_instance_alone() -> None:
+def test_invalid_settings_yield_give_in_for_that_instance_only() -> None:
     empty = {**CONF, "classes": []}
     code, replies, _ = run([batch(1, s=[create(1, empty), fleet()], t=[create(2), fleet()])])
     found = by_instance(replies)
--- a/tests/test_unlisted.py
+++ b/tests/test_unlisted.py
@@ -1,4 +1,4 @@
-"""Troubles that no list names: the rules hold (tests/field.py checks each action) and work resumes."""
+"""Uncommon failures: the rules hold (tests/field.py checks each action) and work resumes."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.field import MS, SECOND, Recorder, roster, settings
 
 
-def healthy(field: Recorder, seconds: int, free: float = 6.0) -> int:
-    """Ordinary traffic that is served; returns how many requests were."""
+def serve_traffic(field: Recorder, seconds: int, free: float = 6.0) -> int:
+    """Plays ordinary traffic, all of it answered; returns the number of requests served."""
     served, end = 0, field.now + seconds * SECOND
     while field.now < end:
         field.advance(field.now + 50 * MS)
@@ -27,9 +27,9 @@
 
 
 @pytest.mark.parametrize("copies", [False, True])
-def test_all_workers_silent_at_once_then_back(copies: bool) -> None:
+def test_all_workers_unresponsive_at_once_then_back(copies: bool) -> None:
     field = Recorder(settings(second_copies=copies, may_probe=True), roster(6))
-    healthy(field, 3)
+    serve_traffic(field, 3)
     for at in range(100):
         field.advance(field.now + 50 * MS)
         field.arrive(f"lost{at}")
@@ -41,18 +41,18 @@
     for worker in field.dispatcher.workers.values():
         assert worker.probe_sent_us is None or field.feed(
             api.ProbeEnded(worker.name, api.Status.TIMEOUT, 250 * MS)) is None
-    healthy(field, 20)
-    assert healthy(field, 5) >= 90
+    serve_traffic(field, 20)
+    assert serve_traffic(field, 5) >= 90
 
 
-def test_reports_that_say_zero_for_ever_do_not_stop_the_work() -> None:
+def test_reports_that_always_show_zero_do_not_stop_the_work() -> None:
     field = Recorder(settings(), roster(6))
-    assert healthy(field, 10, free=0.0) > 100
+    assert serve_traffic(field, 10, free=0.0) > 100
 
 
-def test_a_worker_that_answers_fast_with_errors_loses_its_traffic_and_gets_it_back() -> None:
+def test_a_worker_with_fast_errors_loses_its_traffic_and_gets_it_back() -> None:
     field = Recorder(settings(), roster(6, zones="a"))
-    healthy(field, 3)
+    serve_traffic(field, 3)
     share = {True: 0, False: 0}
     for at in range(300):
         field.advance(field.now + 20 * MS)
@@ -64,14 +64,14 @@
             field.finish(request, number, status, api.LoadReport(free_slots=6))
     assert share[True] < share[False] / 5, "less than its even share"
     worker = field.dispatcher.workers["w0"]
-    healthy(field, 60)
-    assert field.dispatcher._load(worker, 0) < 1, "its strikes have faded: no worker is shunned for ever"
+    serve_traffic(field, 60)
+    assert field.dispatcher._load(worker, 0) < 1, "its failure penalty has decayed, so it is used again"
 
 
 def test_attempts_that_break_at_every_worker_do_not_stop_the_work() -> None:
-    """Guards against refusing nearly everything because each worker had a few resets."""
+    """Nearly all requests were refused when each worker had had a few resets."""
     field = Recorder(settings(), roster(6, zones="a"))
-    healthy(field, 3)
+    serve_traffic(field, 3)
     sent = 0
     for at in range(200):
         field.advance(field.now + 50 * MS)
@@ -84,28 +84,28 @@
     assert refused == 0 and sum(r.startswith("b") and r not in field.closed for r in field.requests) < 5
 
 
-def test_the_roster_emptied_and_named_again() -> None:
+def test_an_empty_roster_and_then_new_workers() -> None:
     field = Recorder(settings(), roster(6))
-    healthy(field, 2)
+    serve_traffic(field, 2)
     field.feed(api.RosterUpdate(api.RosterMode.COMPLETE, ()))
     field.arrive("none")
     field.advance(field.now + 6 * SECOND)
     assert field.closed["none"] == "Refuse"
     field.feed(api.RosterUpdate(api.RosterMode.COMPLETE, roster(6, first=6)))
-    assert healthy(field, 5) >= 90
+    assert serve_traffic(field, 5) >= 90
 
 
-def test_a_lost_roster_is_asked_for_again_within_the_contracts_time() -> None:
+def test_a_lost_roster_is_requested_again_within_the_contracts_time() -> None:
     field = Recorder(settings(roster_on_request=True), roster(3))
     asked: list[int] = []
     handle = field.dispatcher.handle
 
-    def watch(now: int, events: tuple[api.Event, ...]) -> list[api.Action]:
+    def record_subscribes(now: int, events: tuple[api.Event, ...]) -> list[api.Action]:
         actions = handle(now, events)
         asked.extend(now for a in actions if isinstance(a, api.Subscribe))
         return actions
 
-    field.dispatcher.handle = watch  # type: ignore[method-assign, assignment]
+    field.dispatcher.handle = record_subscribes  # type: ignore[method-assign, assignment]
     field.advance(3 * SECOND)
     assert len(asked) == 1
     for _ in range(8):
@@ -122,7 +122,7 @@
     assert "r" in field.closed
     for request, number, _ in field.out():
         field.finish(request, number, api.Status.TIMEOUT)
-    assert healthy(field, 5) >= 80
+    assert serve_traffic(field, 5) >= 80
 
 
 def test_an_unknown_class_is_refused_unsent() -> None:
@@ -132,8 +132,8 @@
     assert actions == [api.Refuse("x")]
 
 
-def operations(workers: int) -> int:
-    """Load figures computed while a fixed number of requests are served."""
+def count_load_computations(workers: int) -> int:
+    """Returns the number of loads computed while a fixed number of requests is served."""
     field = Recorder(settings(), roster(workers))
     count = 0
     load = field.dispatcher._load
@@ -145,9 +145,9 @@
 
     field.dispatcher._recount = lambda: None  # type: ignore[method-assign]
     field.dispatcher._load = counted  # type: ignore[method-assign, assignment]
-    healthy(field, 10)
+    serve_traffic(field, 10)
     return count
 
 
 def test_the_work_for_a_request_and_a_round_does_not_grow_with_the_fleet() -> None:
-    assert operations(400) < 1.5 * operations(40)
+    assert count_load_computations(400) < 1.5 * count_load_computations(40)
