--- a/arrowfold/choice.py
+++ b/arrowfold/choice.py
@@ -312,9 +312,9 @@
         if event.status is Status.OK:
             self.probe_rtt_us[worker.local] += 0.1 * (event.elapsed_us - self.probe_rtt_us[worker.local])
             self._take_report(worker, event.report)
-            worker.strike(self.now, -0.5)  # even a late answer reverts the penalty of a timeout
+            worker.add_penalty(self.now, -0.5)  # even a late answer reverts the penalty of a timeout
         else:
-            worker.strike(self.now)
+            worker.add_penalty(self.now)
         self.counters["probes_no_news"] += available == [self._has_capacity(worker, r) for r in waiters]
         for request in waiters:
             if worker in request.candidates and request.pending_probes:
@@ -345,7 +345,7 @@
         if request.open and request.pending_probes and request.probe_round == probe_round:
             request.pending_probes = 0
             for worker in (w for w in request.candidates if w.probe_sent_us is not None):
-                worker.strike(self.now, 0.5)
+                worker.add_penalty(self.now, 0.5)
             self._decide(request)
 
     def _draw_pool(self, table: Table, count: int, local: bool) -> list[Worker]:
@@ -365,9 +365,9 @@
     def _market_round(self) -> None:
         """Runs a market round: recounts the tokens, then trades among a few sampled workers."""
         self._set_timer(self._jitter(MARKET_ROUND_US), self._market_round)
-        failed = [w.failed * 2 ** (-(self.now - w.penalty_us) / PENALTY_HALF_LIFE_US)
-                  for w in self.workers.values() if w.serving]
-        self.mean_penalty = sum(failed) / max(1, len(failed))
+        penalties = [w.failed * 2 ** (-(self.now - w.penalty_us) / PENALTY_HALF_LIFE_US)
+                     for w in self.workers.values() if w.serving]
+        self.mean_penalty = sum(penalties) / max(1, len(penalties))
         self._recount()
         tables = [t for t in self.tables.values() if t.tokens]
         holders = [self.random.choice(t.tokens).holder for t in tables for _ in range(2)]
@@ -650,7 +650,7 @@
         attempt = request.attempts[number]
         if attempt.ended or not request.open or request.streaming:
             return
-        attempt.worker.strike(self.now, 0.5)
+        attempt.worker.add_penalty(self.now, 0.5)
         if self.settings.second_copies:
             if request.count_in_flight() == 1 and request.cls.idempotency is not Idempotency.UNSAFE:
                 self._seek(request)
@@ -690,7 +690,7 @@
             worker.refused_us = self.now
             self.prompt_starts.add(False)
         elif event.status in (Status.ERROR, Status.CONNECT_FAILED, Status.RESET, Status.TIMEOUT):
-            worker.strike(self.now, failed=event.status is not Status.TIMEOUT)
+            worker.add_penalty(self.now, is_failure=event.status is not Status.TIMEOUT)
 
     def _measure_run(self, request: Request, attempt: Attempt) -> None:
         """Updates C_i, from the reported start (else the send) to the outcome, and the worker's slowness."""
--- a/arrowfold/state.py
+++ b/arrowfold/state.py
@@ -36,6 +36,7 @@
         self.lagged_in_flight, self.lag_updated_us = [0.0, 0.0], 0  # the same, delayed as in reports
         self.others_used = [0.0, 0.0]  # resources in use by other dispatchers
         self.last_report_us, self.slowness, self.slowness_us = 0, 1.0, 0
+        # Failure penalties: of all kinds, and the part from failed attempts; time of the last change.
         self.strikes, self.failed, self.penalty_us = 0.0, 0.0, 0
         self.probe_sent_us: int | None = None  # of the probe in flight
         self.probe_waiters: list[Request] = []
@@ -60,14 +61,14 @@
         self.slowness += 0.3 * (min(ratio, 10.0) - self.slowness)
         self.slowness_us = now
 
-    def strike(self, now: int, weight: float = 1.0, failed: bool = False) -> None:
+    def add_penalty(self, now: int, weight: float = 1.0, is_failure: bool = False) -> None:
         """Adds to the failure penalty, which raises the load of a failing or unresponsive worker for a while.
 
-        `failed` marks a failed attempt; the others are timeouts and unanswered probes.
+        `is_failure` marks a failed attempt; the others are timeouts and unanswered probes.
         """
         decay = 2 ** (-(now - self.penalty_us) / PENALTY_HALF_LIFE_US)
         self.strikes, self.penalty_us = min(max(self.strikes * decay + weight, 0.0), 4.0), now
-        self.failed = min(self.failed * decay + failed, self.strikes)
+        self.failed = min(self.failed * decay + is_failure, self.strikes)
 
 
 class Timers:
--- a/tests/test_market.py
+++ b/tests/test_market.py
@@ -120,7 +120,7 @@
     dispatcher = started(settings(), roster(2, zones="a"))
     worker = dispatcher.workers["w0"]
     before = dispatcher._load(worker, 0)
-    worker.strike(dispatcher.now)
+    worker.add_penalty(dispatcher.now)
     assert dispatcher._load(worker, 0) > before + 0.5
     dispatcher.now += 60 * SECOND
     assert dispatcher._load(worker, 0) == pytest.approx(before, abs=0.01)
