--- a/arrowfold/scaling/__init__.py
+++ b/arrowfold/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many workers a service should have in a zone: decided from counts, load and bounds, without I/O."""
+"""Decides how many workers a service should have in a zone, from counts, load and bounds, without I/O."""
--- a/arrowfold/scaling/service_bounds.py
+++ b/arrowfold/scaling/service_bounds.py
@@ -1,4 +1,4 @@
-"""Between which counts the operator lets a service's workers be ordered."""
+"""The bounds that the operator sets for the number of a service's workers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScalingBounds:
-    """The `scaling` of a service. Counts are of workers in each zone."""
+    """The `scaling` section of a service. Counts are numbers of workers in each zone."""
 
     service: str
     min_count: int
@@ -17,12 +17,12 @@
     boot_time_s: float
 
     def clamp(self, count: int) -> int:
-        """The nearest count within the bounds."""
+        """Returns the nearest count within the bounds."""
         return max(self.min_count, min(self.max_count, count))
 
 
 def scaling_of(service: Mapping[str, Any]) -> ScalingBounds | None:
-    """The bounds of one service of a valid configuration document; None if its workers are not ordered."""
+    """Returns the bounds of one service of a valid configuration; None if its workers are not ordered."""
     scaling = service.get("scaling")
     if scaling is None:
         return None
--- a/arrowfold/scaling/service_load.py
+++ b/arrowfold/scaling/service_load.py
@@ -1,4 +1,4 @@
-"""The load of a service, from the demand that edges report."""
+"""The load of a service, computed from the demand reports of edges."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from arrowfold.internal.messages import DemandReport
 from arrowfold.placement.demand import Average
 
-AVERAGED_S = 3.0  # time constant of the running requests: longer than the pause between reports
-HEARD_S = 2.0  # edges with traffic report more often than that
+AVERAGING_TIME_S = 3.0  # time constant of the running requests: longer than the interval of reports
+REPORT_TIMEOUT_S = 2.0  # maximum age of the last report; edges with traffic report more often
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What is known of a service's load. `running`: requests at a time; `models`: different ones asked for.
+    """The known load of a service. `running`: mean concurrent requests; `models`: models requested lately.
 
-    `is_known`: edges have reported for long enough, and lately. A service that nobody asks for is not told
-    from one whose edges can't report.
+    `is_known`: edges have reported for long enough, and lately. A service without requests can't be
+    distinguished from one whose edges can't report: its load is unknown.
     """
 
     running: float
@@ -26,32 +26,39 @@
 
 
 class ServiceLoad:
-    """Collects the reports of all edges on one service."""
+    """Aggregates the demand reports of all edges for one service."""
 
     def __init__(self, service: str, models_kept_s: float) -> None:
-        """`models_kept_s`: for how long a model counts once it was asked for."""
+        """`models_kept_s`: how long a model counts after its last request."""
         self._service = service
         self._models_kept_s = models_kept_s
-        self._running = Average(AVERAGED_S)
-        self._asked_s: dict[str, float] = {}
-        self._since_s = math.inf
-        self._heard_s = -math.inf
+        self._running = Average(AVERAGING_TIME_S)
+        self._last_request_s: dict[str, float] = {}  # by model
+        self._reported_since_s = math.inf
+        self._last_report_s = -math.inf
 
     def add(self, report: DemandReport, now_s: float) -> None:
-        """Take one edge's report; what it says of other services is left out."""
+        """Adds an edge's report, ignoring its demand for other services."""
         for demand in report.classes:
             if demand.service != self._service:
                 continue
-            if now_s - self._heard_s > HEARD_S:
-                self._since_s = now_s
-            self._heard_s = now_s
+            if now_s - self._last_report_s > REPORT_TIMEOUT_S:
+                self._reported_since_s = now_s
+            self._last_report_s = now_s
             self._running.add(demand.workload_s, now_s)
             if demand.model:
-                self._asked_s[demand.model] = now_s
+                self._last_request_s[demand.model] = now_s
 
     def at(self, now_s: float) -> Load:
-        """The load now."""
-        asked = {model: at for model, at in self._asked_s.items() if now_s - at < self._models_kept_s}
-        self._asked_s = asked
-        is_known = now_s - self._heard_s <= HEARD_S and now_s - self._since_s >= 2 * AVERAGED_S
-        return Load(self._running.value(now_s), len(asked), is_known)
+        """Returns the load at `now_s` and forgets models without a request within `models_kept_s`."""
+        recent = {
+            model: last_s
+            for model, last_s in self._last_request_s.items()
+            if now_s - last_s < self._models_kept_s
+        }
+        self._last_request_s = recent
+        is_known = (
+            now_s - self._last_report_s <= REPORT_TIMEOUT_S
+            and now_s - self._reported_since_s >= 2 * AVERAGING_TIME_S
+        )
+        return Load(self._running.value(now_s), len(recent), is_known)
--- a/arrowfold/scaling/zone_fleet.py
+++ b/arrowfold/scaling/zone_fleet.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneFleet:
-    """A service's workers in one zone. `slots`: of one worker."""
+    """Counts of a service's workers in one zone. `slots`: the most slots of any one worker."""
 
     available: int = 0
     draining: int = 0
@@ -19,7 +19,7 @@
 
 
 def zone_fleets(records: Iterable[WorkerRecord], service: str) -> dict[str, ZoneFleet]:
-    """The workers of a service in each zone in which any is known that is not gone."""
+    """Returns the counts for each zone that has any worker of the service, removed workers not counted."""
     fleets: dict[str, ZoneFleet] = {}
     for record in records:
         if record.service != service or record.state == GONE:
--- a/arrowfold/scaling/zone_scaler.py
+++ b/arrowfold/scaling/zone_scaler.py
@@ -1,9 +1,10 @@
 """Decides how many workers a service should have in one zone.
 
-The count follows a target: as many workers as the load needs, each `target_share` full. It rises once more
-were needed for `rise_s`, and falls by one once fewer were needed for `fall_s`; a load that swings faster
-orders nothing. It doesn't fall while the load is unknown, a worker drains, a worker that was ordered is not
-there, or those left would not hold every model that was asked for lately.
+The count follows a target: the number of workers that the load needs if each is `target_share` full. It is
+raised once more workers were needed for `rise_s`, and lowered by one once fewer were needed for `fall_s`; a
+load that varies faster changes nothing. It is not lowered while the load is unknown, while a worker drains,
+while an ordered worker is missing, or if the remaining workers could not hold every model that was requested
+lately.
 """
 
 from __future__ import annotations
@@ -18,26 +19,24 @@
 from arrowfold.scaling.service_load import Load
 from arrowfold.scaling.zone_fleet import ZoneFleet
 
-LONGEST_GAP_S = (
-    5.0  # between two looks; what was seen before a longer one says nothing about the time between
-)
+MAX_OBSERVATION_GAP_S = 5.0  # after a longer gap, earlier observations are discarded: they don't cover it
 
 
 class Reason(Enum):
-    """Why a count is wanted."""
+    """Why a count should be ordered."""
 
-    BOUNDS = "bounds"  # the count in force lies outside what the operator allows
-    LOAD = "load"  # more are needed
-    IDLE = "idle"  # fewer are enough
-    REPEAT = "repeat"  # it is not known whether an order was taken
+    BOUNDS = "bounds"  # the current count is outside the operator's bounds
+    LOAD = "load"  # more workers are needed
+    IDLE = "idle"  # fewer workers are enough
+    REPEAT = "repeat"  # it is not known whether an earlier order was accepted
 
 
 @dataclass(frozen=True, slots=True)
 class Situation:
-    """What is known of a service and one of its zones at a moment.
+    """What is known of a service and one of its zones at one time.
 
-    `zones`: in which the service runs; they share its load evenly. `models_a_worker`: for which a worker has
-    room, 0 for a service without models.
+    `zones`: the number of zones in which the service runs; they share its load evenly. `models_a_worker`: how
+    many models fit on a worker, 0 for a service without models.
     """
 
     now_s: float
@@ -50,121 +49,127 @@
 
 @dataclass(frozen=True, slots=True)
 class WantedCount:
-    """A count that should be ordered, since it differs from the one in force."""
+    """A count that should be ordered because it differs from the current one."""
 
     count: int
     reason: Reason
 
 
 @dataclass(frozen=True, slots=True)
-class _Look:
-    """What was needed at a moment. `may_fall`: whether fewer workers could have been ordered then."""
+class _Observation:
+    """The needed count at one time. `can_decrease`: whether the count could have been lowered then."""
 
     at_s: float
     needed: int
-    may_fall: bool
+    can_decrease: bool
 
 
 class ZoneScaler:
-    """The decisions of one holder for one zone; ask it about once a second."""
+    """Decides for one zone during one tenure of the duty; `look` is to be called about once a second."""
 
     def __init__(self, options: ScalingOptions) -> None:
         self._options = options
-        self._looks: deque[_Look] = deque()
-        self._seen_since_s: float | None = None  # when workers of the zone were first known
-        self._found = 0  # the most workers that were available at once; who drains may have been replaced
-        self._accepted: int | None = None
-        self._below_since_s: float | None = None
+        self._observations: deque[_Observation] = deque()
+        self._first_available_s: float | None = None  # when workers of the zone were first available
+        self._max_available = 0  # not lowered when a worker drains: it may have been replaced
+        self._accepted_count: int | None = None
+        self._below_min_since_s: float | None = None
 
     def count(self, bounds: ScalingBounds) -> int:
-        """The count in force, as far as it is known, within the bounds."""
-        return bounds.clamp(self._found if self._accepted is None else self._accepted)
+        """Returns the current count, as far as it is known, clamped to the bounds."""
+        return bounds.clamp(self._max_available if self._accepted_count is None else self._accepted_count)
 
     def accepted(self, count: int) -> None:
-        """The platform has taken an order."""
-        self._accepted = count
-        self._looks.clear()
+        """Records that the platform accepted an order for `count` workers."""
+        self._accepted_count = count
+        self._observations.clear()
 
     def look(self, situation: Situation) -> WantedCount | None:
-        """Take what is known now; the count that should be ordered, or None to leave it as it is."""
+        """Records the situation; returns the count to order, or None to keep the current one."""
         now_s = situation.now_s
-        self._note_fleet(situation)
-        self._note_need(situation)
-        if self._seen_since_s is None or now_s - self._seen_since_s < self._options.known_s:
+        self._record_fleet(situation)
+        self._record_observation(situation)
+        if self._first_available_s is None or now_s - self._first_available_s < self._options.known_s:
             return None
-        return self._outside_bounds(situation) or self._risen(situation) or self._fallen(situation)
+        return self._outside_bounds(situation) or self._increased(situation) or self._decreased(situation)
 
-    def _note_fleet(self, situation: Situation) -> None:
+    def _record_fleet(self, situation: Situation) -> None:
         fleet = situation.fleet
-        if fleet.available > 0 and self._seen_since_s is None:
-            self._seen_since_s = situation.now_s
-        self._found = max(self._found, fleet.available)
+        if fleet.available > 0 and self._first_available_s is None:
+            self._first_available_s = situation.now_s
+        self._max_available = max(self._max_available, fleet.available)
 
-    def _note_need(self, situation: Situation) -> None:
+    def _record_observation(self, situation: Situation) -> None:
         now_s = situation.now_s
-        looks = self._looks
-        if looks and now_s - looks[-1].at_s > LONGEST_GAP_S:
-            looks.clear()
-        looks.append(_Look(now_s, self._needed(situation), self._may_fall(situation)))
+        observations = self._observations
+        if observations and now_s - observations[-1].at_s > MAX_OBSERVATION_GAP_S:
+            observations.clear()
+        observations.append(_Observation(now_s, self._needed(situation), self._can_decrease(situation)))
         kept_s = max(self._options.rise_s, self._options.fall_s)
-        while len(looks) > 1 and now_s - looks[1].at_s >= kept_s:
-            looks.popleft()
+        while len(observations) > 1 and now_s - observations[1].at_s >= kept_s:
+            observations.popleft()
 
     def _needed(self, situation: Situation) -> int:
         bounds, load = situation.bounds, situation.load
-        room = bounds.max_count - bounds.min_count
-        floor = bounds.min_count + math.floor(self._options.floor_share * room)
+        count_range = bounds.max_count - bounds.min_count
+        floor = bounds.min_count + math.floor(self._options.floor_share * count_range)
         return bounds.clamp(max(floor, self._needed_by_load(situation) if load.is_known else 0))
 
     def _needed_by_load(self, situation: Situation) -> int:
-        carried = self._options.target_share * situation.fleet.slots * situation.zones
-        return math.ceil(situation.load.running / carried) if carried > 0 else 0
+        target_load = self._options.target_share * situation.fleet.slots * situation.zones
+        return math.ceil(situation.load.running / target_load) if target_load > 0 else 0
 
-    def _may_fall(self, situation: Situation) -> bool:
+    def _can_decrease(self, situation: Situation) -> bool:
         count = self.count(situation.bounds)
         fleet = situation.fleet
-        is_whole = fleet.draining == 0 and fleet.available >= count
-        places = (count - 1) * situation.zones * situation.models_a_worker
-        holds_all = situation.models_a_worker == 0 or situation.load.models <= places
-        return situation.load.is_known and is_whole and holds_all
+        is_complete = fleet.draining == 0 and fleet.available >= count
+        model_capacity = (count - 1) * situation.zones * situation.models_a_worker
+        fits_models = situation.models_a_worker == 0 or situation.load.models <= model_capacity
+        return situation.load.is_known and is_complete and fits_models
 
     def _outside_bounds(self, situation: Situation) -> WantedCount | None:
-        """The platform keeps a count within the bounds, too; workers that start or fell are waited for."""
+        """Returns the nearest count within the bounds, if the current one is outside of them.
+
+        The platform itself also keeps counts within the bounds. Without an accepted order, a count below the
+        minimum is corrected only after the time in which workers start or a failed one is replaced.
+        """
         bounds = situation.bounds
-        held = self._found if self._accepted is None else self._accepted
-        if held >= bounds.min_count:
-            self._below_since_s = None
-        elif self._below_since_s is None:
-            self._below_since_s = situation.now_s
-        if bounds.clamp(held) == held:
+        current = self._max_available if self._accepted_count is None else self._accepted_count
+        if current >= bounds.min_count:
+            self._below_min_since_s = None
+        elif self._below_min_since_s is None:
+            self._below_min_since_s = situation.now_s
+        if bounds.clamp(current) == current:
             return None
-        if self._accepted is None and self._below_since_s is not None:
-            waited_s = situation.now_s - self._below_since_s
+        if self._accepted_count is None and self._below_min_since_s is not None:
+            waited_s = situation.now_s - self._below_min_since_s
             if waited_s < bounds.boot_time_s + self._options.fall_s:
                 return None
-        return WantedCount(bounds.clamp(held), Reason.BOUNDS)
+        return WantedCount(bounds.clamp(current), Reason.BOUNDS)
 
-    def _risen(self, situation: Situation) -> WantedCount | None:
-        looks = self._looks_over(self._options.rise_s)
-        if looks is None:
+    def _increased(self, situation: Situation) -> WantedCount | None:
+        observations = self._observations_over(self._options.rise_s)
+        if observations is None:
             return None
-        needed = min(look.needed for look in looks)
+        needed = min(observation.needed for observation in observations)
         if needed <= self.count(situation.bounds):
             return None
         return WantedCount(needed, Reason.LOAD)
 
-    def _fallen(self, situation: Situation) -> WantedCount | None:
-        looks = self._looks_over(self._options.fall_s)
-        if looks is None or not all(look.may_fall for look in looks):
+    def _decreased(self, situation: Situation) -> WantedCount | None:
+        observations = self._observations_over(self._options.fall_s)
+        if observations is None or not all(observation.can_decrease for observation in observations):
             return None
         count = self.count(situation.bounds)
-        if max(look.needed for look in looks) >= count:
+        if max(observation.needed for observation in observations) >= count:
             return None
         return WantedCount(count - 1, Reason.IDLE)
 
-    def _looks_over(self, duration_s: float) -> list[_Look] | None:
-        """All looks of the last `duration_s`; None if they don't reach back so far."""
-        newest_s = self._looks[-1].at_s
-        if newest_s - self._looks[0].at_s < duration_s:
+    def _observations_over(self, duration_s: float) -> list[_Observation] | None:
+        """Returns the observations of the last `duration_s`; None if they don't cover that time."""
+        newest_s = self._observations[-1].at_s
+        if newest_s - self._observations[0].at_s < duration_s:
             return None
-        return [look for look in self._looks if newest_s - look.at_s <= duration_s]
+        return [
+            observation for observation in self._observations if newest_s - observation.at_s <= duration_s
+        ]
