--- a/tests/system/least_loaded_selector.py
+++ b/tests/system/least_loaded_selector.py
@@ -1,4 +1,4 @@
-"""A plain selection of workers: the one with the fewest requests of this edge in flight."""
+"""A minimal worker selector: the worker with the fewest attempts of this edge in flight."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 class LeastLoadedSelector:
     """Implements `WorkerSelector` without a market."""
 
-    def __init__(self, draw: random.Random | None = None) -> None:
-        self._draw = draw or random.Random()
+    def __init__(self, rng: random.Random | None = None) -> None:
+        self._rng = rng or random.Random()
         self._workers: tuple[WorkerRecord, ...] = ()
         self._in_flight: Counter[str] = Counter()
         self._demand: dict[tuple[str, str, str], list[float]] = {}
         self._started: dict[str, float] = {}
 
     def apply_workers(self, workers: tuple[WorkerRecord, ...], now_s: float) -> None:
-        """Take the whole table of known workers."""
+        """Replaces the table of known workers."""
         self._workers = workers
 
     def apply_edges(self, edges: int) -> None:
-        """Take how many edge nodes share the workers; not used."""
+        """Not used."""
 
     def apply_engines(self, facts: tuple[EngineFacts, ...]) -> None:
         """Not used."""
 
     def choose(self, request: RequestProfile, excluded: Collection[str], now_s: float) -> Choice:
-        """The holder with the fewest requests in flight; a silent one only as the last resort."""
+        """Returns the holder with the fewest attempts in flight, available ones before unresponsive ones."""
         demand = self._demand.setdefault((request.service, request.model, request.adapter), [0.0, 0.0, 0.0])
         if not excluded:
             demand[0] += 1
@@ -58,11 +58,11 @@
         candidates = [worker for worker in candidates if worker.state == "available"] or candidates
         if not candidates:
             return RefusedRequest(ResultCode.OVERLOADED, RETRY_AFTER_S)
-        chosen = min(candidates, key=lambda w: (self._in_flight[w.instance], self._draw.random()))
+        chosen = min(candidates, key=lambda w: (self._in_flight[w.instance], self._rng.random()))
         return ChosenWorker(chosen.instance, chosen.address)
 
     def sent(self, request: RequestProfile, instance: str, now_s: float) -> None:
-        """Count it as in flight."""
+        """Counts the attempt as in flight."""
         self._in_flight[instance] += 1
         self._started[request.request] = now_s
 
@@ -73,7 +73,7 @@
         """Not used."""
 
     def ended(self, request: RequestProfile, instance: str, outcome: Outcome, now_s: float) -> None:
-        """Count it as no longer in flight."""
+        """Counts the attempt as ended."""
         self._in_flight[instance] -= 1
         if self._in_flight[instance] <= 0:
             del self._in_flight[instance]
@@ -85,14 +85,14 @@
         """Not used."""
 
     def market_round(self, now_s: float) -> None:
-        """There is no market."""
+        """Not used: there is no market."""
 
     def take_failing(self) -> tuple[str, ...]:
-        """Not told."""
+        """Returns no workers: failures are not tracked."""
         return ()
 
     def take_demand(self, now_s: float) -> tuple[ClassDemand, ...]:
-        """Demand by class since the last call."""
+        """Returns the demand by class since the last call."""
         demand, self._demand = self._demand, {}
         return tuple(
             ClassDemand(service, model, adapter, requests, workload, missing)
--- a/tests/system/selection_stage.py
+++ b/tests/system/selection_stage.py
@@ -1,4 +1,4 @@
-"""One edge's selection with workers in memory: the stage of the stories about choices. Time is a number."""
+"""A test harness for the selection of one edge, with workers in memory and a simulated clock."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     slots: int = 16,
     arriving: tuple[ArrivingModel, ...] = (),
 ) -> WorkerRecord:
-    """A worker's record; `models` are names, with adapters after a slash: `m/a1,a2`."""
+    """Returns a worker's record; `models` are names, with adapters after a slash: `m/a1,a2`."""
     held = []
     for model in models:
         base, _, adapters = model.partition("/")
@@ -42,22 +42,22 @@
 
 
 class Stage:
-    """A selector, its clock and its workers."""
+    """A selector with a simulated clock and a table of workers."""
 
     def __init__(self, *workers: WorkerRecord, seed: int = 1, edges: int = 1) -> None:
         self.now_s = 100.0
         self.selector = MarketSelector("north", seed, SelectionOptions())
         self.selector.apply_engines((EngineFacts(SERVICE, KV_TOKENS, {"m": LOAD_S, "n": LOAD_S}),))
-        self.workers(*workers)
+        self.apply_workers(*workers)
         self.selector.apply_edges(edges)
         self._names = itertools.count()
 
-    def workers(self, *workers: WorkerRecord) -> None:
-        """The table of workers is now this."""
+    def apply_workers(self, *workers: WorkerRecord) -> None:
+        """Replaces the table of workers."""
         self.selector.apply_workers(workers, self.now_s)
 
     def advance(self, seconds: float) -> None:
-        """Time passes; the market has its rounds."""
+        """Advances the clock in steps of half a second with a market round after each."""
         until_s = self.now_s + seconds
         while self.now_s < until_s:
             self.now_s = min(until_s, self.now_s + 0.5)
@@ -75,7 +75,7 @@
         priority: int = 1,
         prompt_tokens: int | None = None,
     ) -> RequestProfile:
-        """A request that arrives now; `model` may have an adapter after a slash."""
+        """Returns a request that arrives now; `model` may have an adapter after a slash."""
         base, _, adapter = model.partition("/")
         prompt = tuple(PromptPart(identity, tokens) for identity, tokens in parts)
         return RequestProfile(
@@ -98,18 +98,18 @@
         )
 
     def choose(self, request: RequestProfile, excluded: Collection[str] = ()) -> Choice:
-        """What the selection says now."""
+        """Returns the selector's choice now."""
         return self.selector.choose(request, excluded, self.now_s)
 
     def send(self, request: RequestProfile) -> str:
-        """Choose a worker and send the request there; its name."""
+        """Sends a request to the chosen worker and returns the worker's name."""
         choice = self.choose(request)
         assert isinstance(choice, ChosenWorker), choice
         self.selector.sent(request, choice.instance, self.now_s)
         return choice.instance
 
     def serve(self, request: RequestProfile, first_s: float = 0.1, run_s: float = 0.3) -> str:
-        """Send it, and have it answered; its worker's name."""
+        """Sends a request to the chosen worker, which answers it; returns the worker's name."""
         name = self.send(request)
         self.now_s += first_s
         self.selector.first_event(request, name, self.now_s)
@@ -117,17 +117,17 @@
         self.selector.ended(request, name, Outcome.SUCCEEDED, self.now_s)
         return name
 
-    def reaches(self, request: RequestProfile, name: str, first_s: float, run_s: float = 0.1) -> None:
-        """Have a request answered by a worker of the test's choice."""
+    def serve_at(self, request: RequestProfile, name: str, first_s: float, run_s: float = 0.1) -> None:
+        """Lets the worker `name` answer a request, without advancing the clock."""
         self.selector.sent(request, name, self.now_s)
         self.selector.first_event(request, name, self.now_s + first_s)
         self.selector.ended(request, name, Outcome.SUCCEEDED, self.now_s + first_s + run_s)
 
     def tokens(self) -> int:
-        """All tokens that tables list."""
+        """Returns the number of tokens in all tables."""
         return sum(len(table.tokens) for table in self.selector.market.tables.values())
 
 
 def with_state(record: WorkerRecord, state: str) -> WorkerRecord:
-    """The same worker in another state."""
+    """Returns the record of the same worker in another state."""
     return replace(record, state=state)
--- a/tests/system/test_edge_tenant_shares.py
+++ b/tests/system/test_edge_tenant_shares.py
@@ -1,6 +1,7 @@
-"""Whether a tenant with much traffic can starve another of the same class of requests, at one edge.
+"""A tenant with heavy traffic must not starve another tenant with the same class of requests at one edge.
 
-Tenants ask on one route; workers run by the Priority header, and turn away what their queue has no room for.
+All tenants use one route. The workers run requests in the order of their Priority header and answer 503 when
+their queue is full.
 """
 
 from __future__ import annotations
@@ -29,33 +30,33 @@
 )
 from tests.system.virtual_time import run_virtual
 
-STARVED = 0.25  # of the rate at which all requests are served: less is starved
+MIN_FAIR_SHARE = 0.25  # of the share of all requests that is served; a tenant with less is starved
 SLOTS = 2
-MOST_QUEUED = 4
+MAX_QUEUED = 4
 RUN_S = 0.1
 WORKERS = 4  # together they serve 80 requests a second
-STORY_S = 10.0
+DURATION_S = 10.0
 RETRY_S = 0.05
 SEEDS = (1, 2)
 
 
 @dataclass(slots=True)
 class QueueingWorker:
-    """Runs SLOTS requests at a time, the most urgent first, and keeps MOST_QUEUED waiting."""
+    """Runs SLOTS requests at a time, the most urgent first, and queues at most MAX_QUEUED more."""
 
     running: int = 0
     queue: list[tuple[int, int, asyncio.Event]] = field(default_factory=list)
     numbers: itertools.count[int] = field(default_factory=itertools.count)
 
     async def __call__(self, request: WorkerRequest) -> ScriptedAnswer | SendFailure:
-        if self.running >= SLOTS and len(self.queue) >= MOST_QUEUED:
+        if self.running >= SLOTS and len(self.queue) >= MAX_QUEUED:
             return ScriptedAnswer(503, ((b"X-Not-Executed", b"1"), self._load()))
         if self.running >= SLOTS:
             await self._wait(request)
         else:
             self.running += 1
         await asyncio.sleep(RUN_S)
-        self._next()
+        self._start_next()
         return whole(b"done", 200, self._load())
 
     async def _wait(self, request: WorkerRequest) -> None:
@@ -64,7 +65,7 @@
         heapq.heappush(self.queue, (priority, next(self.numbers), turn))
         await turn.wait()
 
-    def _next(self) -> None:
+    def _start_next(self) -> None:
         if self.queue:
             heapq.heappop(self.queue)[2].set()
         else:
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Traffic:
-    """A tenant's requests: `rate` a second, each tried up to `tries` times; `priority` of the tenant."""
+    """A tenant's traffic: `rate` requests per second, each sent up to `tries` times, and its priority."""
 
     tenant: str
     rate: float
@@ -86,24 +87,24 @@
 
 @dataclass(slots=True)
 class Shares:
-    """How many requests of each tenant were sent, and served."""
+    """The number of requests that each tenant sent, and of those that were served."""
 
     sent: Counter[str] = field(default_factory=Counter)
     served: Counter[str] = field(default_factory=Counter)
 
     def of(self, tenant: str) -> float:
-        """The part of a tenant's requests that was served."""
+        """Returns the share of a tenant's requests that was served."""
         return self.served[tenant] / self.sent[tenant]
 
     @property
     def of_all(self) -> float:
-        """The part of all requests that was served."""
+        """The share of all requests that was served."""
         return self.served.total() / self.sent.total()
 
 
-async def play(seed: int, *traffic: Traffic) -> Shares:
-    """Let the tenants ask for STORY_S, and tell what each got."""
-    draw = random.Random(seed)
+async def run_traffic(seed: int, *traffic: Traffic) -> Shares:
+    """Runs the tenants' traffic for DURATION_S and returns what each of them was served."""
+    rng = random.Random(seed)
     edge = EdgeStory(selector=MarketSelector("z1", seed))
     routes = [route("look", "/look/", "cards", "idempotent")]
     tenants = [{"name": t.tenant, "apiKeys": [f"key-{t.tenant}"], "priority": t.priority} for t in traffic]
@@ -113,7 +114,7 @@
         edge.workers.scripts[f"w{number}"] = QueueingWorker()
     shares = Shares()
 
-    async def ask(item: Traffic) -> None:
+    async def send_with_retries(item: Traffic) -> None:
         shares.sent[item.tenant] += 1
         for _ in range(item.tries):
             answer: RecordedAnswer = await edge.ask(
@@ -124,31 +125,31 @@
                 return
             await asyncio.sleep(RETRY_S)
 
-    async def arrive(item: Traffic) -> None:
+    async def generate_requests(item: Traffic) -> None:
         async with asyncio.TaskGroup() as group:
-            while edge.loop.time() < STORY_S:
-                await asyncio.sleep(draw.expovariate(item.rate))
-                group.create_task(ask(item))
+            while edge.loop.time() < DURATION_S:
+                await asyncio.sleep(rng.expovariate(item.rate))
+                group.create_task(send_with_retries(item))
 
     async with asyncio.TaskGroup() as group:
         for item in traffic:
-            group.create_task(arrive(item))
+            group.create_task(generate_requests(item))
     return shares
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize(("large_tries", "small_tries"), [(1, 1), (2, 2), (4, 1)])
 @pytest.mark.parametrize("small_priority", [1, 5])
-def test_given_a_tenant_with_thirty_times_the_traffic_then_the_small_one_is_not_starved(
+def test_a_tenant_with_thirty_times_the_traffic_does_not_starve_a_small_one(
     seed: int, large_tries: int, small_tries: int, small_priority: int
 ) -> None:
-    """Guards against a small tenant that is served less than a quarter as often as all requests are."""
+    """The small tenant's served share is at least a quarter of the share of all requests that is served."""
 
-    async def story() -> None:
-        shares = await play(
+    async def scenario() -> None:
+        shares = await run_traffic(
             seed, Traffic("large", 150, large_tries), Traffic("small", 5, small_tries, small_priority)
         )
-        assert 0.2 < shares.of_all < 0.9  # it is an overload, and something is served
-        assert shares.of("small") >= STARVED * shares.of_all
+        assert 0.2 < shares.of_all < 0.9  # the workers are overloaded but serve some requests
+        assert shares.of("small") >= MIN_FAIR_SHARE * shares.of_all
 
-    run_virtual(story())
+    run_virtual(scenario())
--- a/tests/system/test_scaling_decisions.py
+++ b/tests/system/test_scaling_decisions.py
@@ -1,4 +1,4 @@
-"""What is decided about the count of a zone, whatever load, fleet and bounds do; what is read and counted."""
+"""Decisions on the worker count of a zone, and the bounds, loads and fleets that they are based on."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @st.composite
 def bounds(draw: st.DrawFn) -> ScalingBounds:
-    least = draw(st.integers(0, 5))
-    return ScalingBounds("s", least, least + draw(st.integers(0, 5)), 8.0)
+    min_count = draw(st.integers(0, 5))
+    return ScalingBounds("s", min_count, min_count + draw(st.integers(0, 5)), 8.0)
 
 
 SITUATIONS = st.tuples(
-    st.sampled_from([0.5, 0.5, 0.5, 3.0, 30.0]),  # seconds since the one before
+    st.sampled_from([0.5, 0.5, 0.5, 3.0, 30.0]),  # seconds since the previous situation
     bounds(),
     st.builds(ZoneFleet, st.integers(0, 12), st.integers(0, 2), st.sampled_from([0, 10])),
     st.builds(Load, st.floats(0, 500), st.integers(0, 30), st.booleans()),
@@ -36,14 +36,16 @@
     st.sampled_from([0.0, 0.5, 1.0]),
     st.lists(st.booleans(), min_size=30, max_size=30),
 )
-def test_a_wanted_count_is_always_within_the_bounds_and_differs_from_the_one_in_force(
-    steps: list[tuple[float, ScalingBounds, ZoneFleet, Load, int]], floor_share: float, taken: list[bool]
+def test_a_wanted_count_is_within_the_bounds_and_differs_from_the_accepted_one(
+    steps: list[tuple[float, ScalingBounds, ZoneFleet, Load, int]],
+    floor_share: float,
+    orders_accepted: list[bool],
 ) -> None:
     options = ScalingOptions(True, floor_share, 0.5, known_s=1.0, rise_s=1.0, fall_s=2.0)
     scaler = ZoneScaler(options)
     now_s, accepted = 0.0, None
-    for (pause_s, limits, fleet, load, models), is_taken in zip(steps, taken, strict=False):
-        now_s += pause_s
+    for (interval_s, limits, fleet, load, models), is_accepted in zip(steps, orders_accepted, strict=False):
+        now_s += interval_s
         wanted = scaler.look(Situation(now_s, limits, fleet, load, 2, models))
         assert limits.min_count <= scaler.count(limits) <= limits.max_count
         if wanted is None:
@@ -53,12 +55,12 @@
         if wanted.reason is Reason.IDLE:
             assert wanted.count == scaler.count(limits) - 1
             assert fleet.draining == 0
-        if is_taken:
+        if is_accepted:
             accepted = wanted.count
             scaler.accepted(wanted.count)
 
 
-def test_a_floor_is_ordered_without_any_load() -> None:
+def test_a_minimum_share_is_ordered_without_any_load() -> None:
     scaler = ZoneScaler(ScalingOptions(True, 1.0, 0.5, known_s=3.0, rise_s=6.0, fall_s=20.0))
     limits = ScalingBounds("s", 2, 4, 8.0)
     wanted = None
@@ -68,8 +70,8 @@
     assert wanted is not None and (wanted.count, wanted.reason) == (4, Reason.LOAD)
 
 
-def test_after_a_pause_of_the_process_the_time_before_it_says_nothing() -> None:
-    # Guards against a holder that stood still and orders by what it saw long ago.
+def test_observations_before_a_pause_of_the_process_are_discarded() -> None:
+    # Guards against an order based on outdated observations after the duty holder's process was suspended.
     scaler = ZoneScaler(OPTIONS)
     limits = ScalingBounds("s", 1, 9, 8.0)
 
@@ -83,7 +85,7 @@
     assert look(120.0) is not None
 
 
-def test_the_bounds_of_a_service_are_read_with_their_defaults() -> None:
+def test_the_bounds_of_a_service_have_defaults() -> None:
     assert scaling_of({"name": "s"}) is None
     assert scaling_of({"name": "s", "scaling": {"maxCount": 3}}) == ScalingBounds("s", 0, 3, 0.0)
     full = {"minCount": 2, "maxCount": 3, "bootTimeS": 8}
@@ -105,7 +107,7 @@
     assert zone_fleets(records, "s") == {"z0": ZoneFleet(1, 1, 10), "z1": ZoneFleet(0, 0, 10)}
 
 
-def test_a_load_is_known_once_edges_have_reported_for_some_time_and_lately() -> None:
+def test_a_load_is_known_after_edges_have_reported_for_some_time_and_lately() -> None:
     load = ServiceLoad("s", 20.0)
     classes = (ClassDemand("s", "m", "", 4.0, 2.0), ClassDemand("t", "n", "", 9.0, 9.0))
     assert not load.at(0.0).is_known
@@ -113,7 +115,7 @@
         load.add(DemandReport(EDGE, 0.5, classes), step * 0.5)
     known = load.at(29.5)
     assert known.is_known and known.models == 1
-    assert 3.5 < known.running < 4.5  # 2 s of work in each half second
+    assert 3.5 < known.running < 4.5  # 2 s of work every half second
     assert not load.at(32.0).is_known
     load.add(DemandReport(EDGE, 0.5, classes), 40.0)
     assert not load.at(40.0).is_known
--- a/tests/system/test_selection_stories.py
+++ b/tests/system/test_selection_stories.py
@@ -1,4 +1,4 @@
-"""Stories about which worker an edge chooses: the ordinary path of the market, then each stated exception."""
+"""Which worker an edge chooses: the token market's ordinary path, then each exception to it."""
 
 from __future__ import annotations
 
@@ -14,475 +14,479 @@
 from arrowfold.selection.interface import ChosenWorker, Outcome, RefusedRequest, WaitForWorker
 from tests.system.selection_stage import LOAD_S, SERVICE, Stage, with_state, worker
 
-LIBRARY = (("head", 2000), ("repository", 4000))
+SHARED_PARTS = (("head", 2000), ("repository", 4000))
 
 
-def three(*models: str) -> Stage:
+def three_workers(*models: str) -> Stage:
     return Stage(*(worker(name, *models) for name in ("a", "b", "c")))
 
 
-# --- the ordinary path ------------------------------------------------------------------------------------
+# --- the ordinary path ----------------------------------------------------------------------------------
 
 
-def test_an_unmeasured_class_gets_one_token_and_its_holder_the_request() -> None:
-    stage = three("m")
-    chosen = stage.send(stage.request())
-    (table,) = stage.selector.market.tables.values()
+def test_a_new_class_gets_one_token_and_its_holder_the_request() -> None:
+    harness = three_workers("m")
+    chosen = harness.send(harness.request())
+    (table,) = harness.selector.market.tables.values()
     assert [token.holder.instance for token in table.tokens] == [chosen]
 
 
 def test_requests_follow_drawn_tokens() -> None:
-    stage = three("m")
+    harness = three_workers("m")
     for _ in range(60):
-        stage.serve(stage.request())
-        stage.selector.market_round(stage.now_s)
-    (table,) = stage.selector.market.tables.values()
+        harness.serve(harness.request())
+        harness.selector.market_round(harness.now_s)
+    (table,) = harness.selector.market.tables.values()
     assert len(table.tokens) > 20
     holders = {token.holder.instance for token in table.tokens}
-    served = {stage.serve(stage.request()) for _ in range(40)}
+    served = {harness.serve(harness.request()) for _ in range(40)}
     assert served <= holders
     assert len(served) > 1
 
 
 def test_token_counts_follow_the_workload_of_classes() -> None:
-    stage = three("m", "n")
+    harness = three_workers("m", "n")
     for _ in range(80):
-        stage.serve(stage.request("m"))
-        stage.selector.market_round(stage.now_s)
-    stage.serve(stage.request("n"))
-    stage.selector.market_round(stage.now_s)
-    counts = {c.model: len(t.tokens) for c, t in stage.selector.market.tables.items()}
+        harness.serve(harness.request("m"))
+        harness.selector.market_round(harness.now_s)
+    harness.serve(harness.request("n"))
+    harness.selector.market_round(harness.now_s)
+    counts = {c.model: len(t.tokens) for c, t in harness.selector.market.tables.items()}
     assert counts["m"] > 5 * counts["n"] >= 5
 
 
 def test_only_holders_of_the_model_and_the_adapter_get_a_request() -> None:
-    stage = Stage(worker("a", "m"), worker("b", "m/x"), worker("c", "n/x"))
-    assert {stage.serve(stage.request("m/x")) for _ in range(10)} == {"b"}
-    assert {stage.serve(stage.request("m")) for _ in range(20)} <= {"a", "b"}
+    harness = Stage(worker("a", "m"), worker("b", "m/x"), worker("c", "n/x"))
+    assert {harness.serve(harness.request("m/x")) for _ in range(10)} == {"b"}
+    assert {harness.serve(harness.request("m")) for _ in range(20)} <= {"a", "b"}
 
 
 def test_a_service_without_models_uses_all_its_workers_and_no_others() -> None:
-    stage = Stage(worker("a", service="cards"), worker("b", service="cards"), worker("c", "m"))
-    served = Counter(stage.send(stage.request("", service="cards")) for _ in range(20))
+    harness = Stage(worker("a", service="cards"), worker("b", service="cards"), worker("c", "m"))
+    served = Counter(harness.send(harness.request("", service="cards")) for _ in range(20))
     assert set(served) == {"a", "b"}
     assert min(served.values()) >= 7
 
 
-def test_a_draining_worker_gets_nothing_and_its_tokens_move() -> None:
+def test_a_draining_worker_gets_no_requests_and_its_tokens_move() -> None:
     one, two = worker("a", "m"), worker("b", "m")
-    stage = Stage(one, two)
+    harness = Stage(one, two)
     for _ in range(40):
-        stage.serve(stage.request())
-        stage.selector.market_round(stage.now_s)
-    stage.workers(with_state(one, "draining"), two)
-    assert {stage.serve(stage.request()) for _ in range(10)} == {"b"}
-    (table,) = stage.selector.market.tables.values()
+        harness.serve(harness.request())
+        harness.selector.market_round(harness.now_s)
+    harness.apply_workers(with_state(one, "draining"), two)
+    assert {harness.serve(harness.request()) for _ in range(10)} == {"b"}
+    (table,) = harness.selector.market.tables.values()
     assert {token.holder.instance for token in table.tokens} == {"b"}
 
 
-def test_tokens_that_nobody_can_hold_move_as_soon_as_somebody_can() -> None:
-    # Given tokens of a class whose only holder has lost it
+def test_tokens_without_a_possible_holder_move_as_soon_as_there_is_one() -> None:
+    # Given tokens of a class whose only holder has unloaded it
     one, two = worker("a", "m"), worker("b", "n")
-    stage = Stage(one, two)
-    stage.serve(stage.request())
+    harness = Stage(one, two)
+    harness.serve(harness.request())
     unloaded = worker("a", "n")
-    stage.workers(unloaded, two)
-    (table,) = [t for t in stage.selector.market.tables.values() if t.request_class.model == "m"]
+    harness.apply_workers(unloaded, two)
+    (table,) = [t for t in harness.selector.market.tables.values() if t.request_class.model == "m"]
     assert {token.holder.instance for token in table.tokens} == {"a"}
-    # When another worker loads it, and nothing is new of the first
-    stage.workers(unloaded, worker("b", "n", "m"))
-    # Then they move there
+    # When another worker loads it, without an update of the first one
+    harness.apply_workers(unloaded, worker("b", "n", "m"))
+    # Then the tokens move there
     assert {token.holder.instance for token in table.tokens} == {"b"}
 
 
 @pytest.mark.parametrize(("edges", "rounds"), [(1, 8), (16, 8), (41, 4), (400, 1)])
-def test_rounds_of_trades_are_further_apart_with_many_edges(edges: int, rounds: int) -> None:
-    stage = Stage(worker("a", "m"), worker("b", "m"), edges=edges)
-    with patch.object(stage.selector.market, "run_round") as traded:
-        stage.advance(4.0)
-    assert traded.call_count == rounds
+def test_rounds_of_trades_are_less_frequent_with_many_edges(edges: int, rounds: int) -> None:
+    harness = Stage(worker("a", "m"), worker("b", "m"), edges=edges)
+    with patch.object(harness.selector.market, "run_round") as run_round:
+        harness.advance(4.0)
+    assert run_round.call_count == rounds
 
 
-def test_a_silent_worker_is_used_only_where_nobody_else_holds_the_class() -> None:
+def test_an_unresponsive_worker_is_used_only_if_no_other_holds_the_class() -> None:
     one, two = worker("a", "m", state="silent"), worker("b", "m")
-    stage = Stage(one, two)
-    assert {stage.serve(stage.request()) for _ in range(10)} == {"b"}
-    stage.workers(one, with_state(two, "draining"))
-    assert stage.serve(stage.request()) == "a"
+    harness = Stage(one, two)
+    assert {harness.serve(harness.request()) for _ in range(10)} == {"b"}
+    harness.apply_workers(one, with_state(two, "draining"))
+    assert harness.serve(harness.request()) == "a"
 
 
-# --- prompt parts -----------------------------------------------------------------------------------------
+# --- prompt parts ---------------------------------------------------------------------------------------
 
 
 def test_all_edges_send_a_shared_part_to_the_same_worker() -> None:
     workers = [worker(f"w{number}", "m") for number in range(8)]
     chosen = set()
     for seed in range(6):
-        stage = Stage(*workers, seed=seed, edges=6)
-        chosen.add(stage.send(stage.request("m", (*LIBRARY, (f"own{seed}", 500)))))
+        harness = Stage(*workers, seed=seed, edges=6)
+        chosen.add(harness.send(harness.request("m", (*SHARED_PARTS, (f"own{seed}", 500)))))
     assert len(chosen) == 1
 
 
 def test_other_parts_go_to_other_workers() -> None:
-    stage = Stage(*(worker(f"w{number}", "m") for number in range(8)))
+    harness = Stage(*(worker(f"w{number}", "m") for number in range(8)))
     served = {
-        stage.serve(stage.request("m", (("head", 2000), (f"repository{n}", 4000), (f"own{n}", 500))))
+        harness.serve(harness.request("m", (("head", 2000), (f"repository{n}", 4000), (f"own{n}", 500))))
         for n in range(40)
     }
     assert len(served) >= 6
 
 
-def test_a_home_that_is_late_loses_the_request_to_another_worker() -> None:
-    stage = Stage(*(worker(f"w{number}", "m") for number in range(4)))
-    parts = (*LIBRARY, ("own", 500))
-    home = stage.serve(stage.request("m", parts))
+def test_a_late_affinity_worker_loses_the_request_to_another_worker() -> None:
+    harness = Stage(*(worker(f"w{number}", "m") for number in range(4)))
+    parts = (*SHARED_PARTS, ("own", 500))
+    affinity_worker = harness.serve(harness.request("m", parts))
     for number in range(10):
-        stage.reaches(stage.request("m", (("other", 6000), (f"x{number}", 500))), "w0", 0.2)
-    for number in range(3):  # they stay without a first event
-        stage.selector.sent(stage.request("m", ((f"long{number}", 30_000),)), home, stage.now_s)
-    stage.now_s += 0.8
-    assert stage.send(stage.request("m", parts)) != home
-
-
-def test_a_session_returns_to_the_worker_that_keeps_its_prompt() -> None:
-    stage = Stage(*(worker(f"w{number}", "m") for number in range(8)))
-    first = stage.serve(stage.request("m", (*LIBRARY, ("session", 1500))))
-    again = [stage.serve(stage.request("m", (*LIBRARY, ("session", 1500)))) for _ in range(5)]
+        harness.serve_at(harness.request("m", (("other", 6000), (f"x{number}", 500))), "w0", 0.2)
+    for number in range(3):  # these attempts get no first event
+        harness.selector.sent(
+            harness.request("m", ((f"long{number}", 30_000),)), affinity_worker, harness.now_s
+        )
+    harness.now_s += 0.8
+    assert harness.send(harness.request("m", parts)) != affinity_worker
+
+
+def test_a_session_returns_to_the_worker_that_has_its_prompt_cached() -> None:
+    harness = Stage(*(worker(f"w{number}", "m") for number in range(8)))
+    first = harness.serve(harness.request("m", (*SHARED_PARTS, ("session", 1500))))
+    again = [harness.serve(harness.request("m", (*SHARED_PARTS, ("session", 1500)))) for _ in range(5)]
     assert again == [first] * 5
 
 
 def test_a_session_moves_when_its_worker_leaves() -> None:
     workers = [worker(f"w{number}", "m") for number in range(4)]
-    stage = Stage(*workers)
-    first = stage.serve(stage.request("m", (*LIBRARY, ("session", 1500))))
-    stage.workers(*(with_state(w, "draining") if w.instance == first else w for w in workers))
-    assert stage.serve(stage.request("m", (*LIBRARY, ("session", 1500)))) != first
+    harness = Stage(*workers)
+    first = harness.serve(harness.request("m", (*SHARED_PARTS, ("session", 1500))))
+    harness.apply_workers(*(with_state(w, "draining") if w.instance == first else w for w in workers))
+    assert harness.serve(harness.request("m", (*SHARED_PARTS, ("session", 1500)))) != first
 
 
-def test_what_a_worker_keeps_of_a_model_is_forgotten_with_the_model() -> None:
-    stage = Stage(worker("a", "m", "n"))
-    request = stage.request("m", (*LIBRARY, ("own", 500)))
-    stage.serve(request)
-    kept = stage.selector._workers["a"].prompt_cache
-    assert kept.cached_tokens(request) == 6500
-    stage.workers(worker("a", "n"))
-    assert kept.cached_tokens(request) == 0
+def test_the_prompt_cache_estimate_of_a_model_is_cleared_when_it_is_unloaded() -> None:
+    harness = Stage(worker("a", "m", "n"))
+    request = harness.request("m", (*SHARED_PARTS, ("own", 500)))
+    harness.serve(request)
+    prompt_cache = harness.selector._workers["a"].prompt_cache
+    assert prompt_cache.cached_tokens(request) == 6500
+    harness.apply_workers(worker("a", "n"))
+    assert prompt_cache.cached_tokens(request) == 0
 
 
-# --- load -------------------------------------------------------------------------------------------------
+# --- load -----------------------------------------------------------------------------------------------
 
 
-def test_reports_of_load_turn_requests_to_the_worker_with_room() -> None:
-    stage = Stage(worker("a", "m"), worker("b", "m"))
-    stage.serve(stage.request())
-    stage.selector.load_reported("a", 16, 4, 16, stage.now_s)
-    stage.selector.load_reported("b", 1, 0, 16, stage.now_s)
-    assert {stage.send(stage.request()) for _ in range(5)} == {"b"}
+def test_load_reports_direct_requests_to_the_worker_with_free_capacity() -> None:
+    harness = Stage(worker("a", "m"), worker("b", "m"))
+    harness.serve(harness.request())
+    harness.selector.load_reported("a", 16, 4, 16, harness.now_s)
+    harness.selector.load_reported("b", 1, 0, 16, harness.now_s)
+    assert {harness.send(harness.request()) for _ in range(5)} == {"b"}
 
 
-def test_first_events_that_come_late_turn_requests_away_for_a_while() -> None:
-    stage = Stage(worker("a", "m"), worker("b", "m"))
+def test_late_first_events_divert_requests_for_a_while() -> None:
+    harness = Stage(worker("a", "m"), worker("b", "m"))
     for name in ("a", "b") * 6:
-        stage.reaches(stage.request(prompt_tokens=1000), name, 0.1)
-    stage.reaches(stage.request(prompt_tokens=1000), "a", 1.5)
-    stage.now_s += 1.5
-    assert {stage.send(stage.request(prompt_tokens=1000)) for _ in range(4)} == {"b"}
+        harness.serve_at(harness.request(prompt_tokens=1000), name, 0.1)
+    harness.serve_at(harness.request(prompt_tokens=1000), "a", 1.5)
+    harness.now_s += 1.5
+    assert {harness.send(harness.request(prompt_tokens=1000)) for _ in range(4)} == {"b"}
 
 
 @pytest.mark.parametrize(
     "outcome", [Outcome.FAILED, Outcome.LOST, Outcome.UNREACHABLE, Outcome.REJECTED_FULL]
 )
-def test_failures_raise_a_workers_load_and_fade(outcome: Outcome) -> None:
-    stage = Stage(worker("a", "m"), worker("b", "m"))
-    request = stage.request()
-    stage.selector.sent(request, "a", stage.now_s)
-    stage.selector.ended(request, "a", outcome, stage.now_s)
-    assert {stage.serve(stage.request()) for _ in range(6)} == {"b"}
-    stage.advance(60)
+def test_failures_add_a_penalty_that_decays(outcome: Outcome) -> None:
+    harness = Stage(worker("a", "m"), worker("b", "m"))
+    request = harness.request()
+    harness.selector.sent(request, "a", harness.now_s)
+    harness.selector.ended(request, "a", outcome, harness.now_s)
+    assert {harness.serve(harness.request()) for _ in range(6)} == {"b"}
+    harness.advance(60)
     served = set()
     for _ in range(30):
-        served.add(stage.serve(stage.request()))
-        stage.selector.market_round(stage.now_s)
+        served.add(harness.serve(harness.request()))
+        harness.selector.market_round(harness.now_s)
     assert served == {"a", "b"}
 
 
-def test_the_last_holder_is_never_left_out_for_its_failures() -> None:
-    stage = Stage(worker("a", "m"))
+def test_the_only_holder_is_used_despite_its_failures() -> None:
+    harness = Stage(worker("a", "m"))
     for _ in range(8):
-        request = stage.request()
-        stage.selector.sent(request, "a", stage.now_s)
-        stage.selector.ended(request, "a", Outcome.FAILED, stage.now_s)
-    assert stage.send(stage.request()) == "a"
+        request = harness.request()
+        harness.selector.sent(request, "a", harness.now_s)
+        harness.selector.ended(request, "a", Outcome.FAILED, harness.now_s)
+    assert harness.send(harness.request()) == "a"
 
 
-def test_a_worker_that_denies_a_model_is_no_holder_until_it_says_so_again() -> None:
-    stage = Stage(worker("a", "m"), worker("b", "m"))
-    request = stage.request()
-    stage.selector.sent(request, "a", stage.now_s)
-    stage.selector.ended(request, "a", Outcome.MISDIRECTED, stage.now_s)
-    assert {stage.serve(stage.request(), 0.01, 0.01) for _ in range(10)} == {"b"}
+def test_a_worker_that_answered_421_for_a_model_counts_as_no_holder() -> None:
+    harness = Stage(worker("a", "m"), worker("b", "m"))
+    request = harness.request()
+    harness.selector.sent(request, "a", harness.now_s)
+    harness.selector.ended(request, "a", Outcome.MISDIRECTED, harness.now_s)
+    assert {harness.serve(harness.request(), 0.01, 0.01) for _ in range(10)} == {"b"}
 
 
-# --- order ------------------------------------------------------------------------------------------------
+# --- priority -------------------------------------------------------------------------------------------
 
 
-def priority_of(stage: Stage, **request: int) -> int:
-    choice = stage.choose(stage.request(**request))  # type: ignore[arg-type]
+def priority_of(harness: Stage, **request: int) -> int:
+    choice = harness.choose(harness.request(**request))  # type: ignore[arg-type]
     assert isinstance(choice, ChosenWorker) and choice.priority_header is not None
     return choice.priority_header
 
 
 def test_urgent_routes_and_short_prompts_come_first_at_a_worker() -> None:
-    stage = three("m")
+    harness = three_workers("m")
     for _ in range(5):
-        stage.serve(stage.request(prompt_tokens=1000))
-    assert priority_of(stage, priority=0, prompt_tokens=1000) < priority_of(
-        stage, priority=2, prompt_tokens=1000
+        harness.serve(harness.request(prompt_tokens=1000))
+    assert priority_of(harness, priority=0, prompt_tokens=1000) < priority_of(
+        harness, priority=2, prompt_tokens=1000
     )
-    assert priority_of(stage, prompt_tokens=100) < priority_of(stage, prompt_tokens=9000)
-    assert priority_of(stage, priority=9, prompt_tokens=9000) == 9
+    assert priority_of(harness, prompt_tokens=100) < priority_of(harness, prompt_tokens=9000)
+    assert priority_of(harness, priority=9, prompt_tokens=9000) == 9
 
 
-# --- missing models ---------------------------------------------------------------------------------------
+# --- missing models -------------------------------------------------------------------------------------
 
 
 def test_a_request_waits_for_a_load_that_ends_in_time() -> None:
     arriving = (ArrivingModel("m", "", 0.4),)
-    stage = Stage(worker("a", "n", arriving=arriving))
-    assert isinstance(stage.choose(stage.request("m", objective_s=1.0)), WaitForWorker)
-    stage.now_s += 0.4
-    stage.workers(worker("a", "n", "m"))
-    assert stage.send(stage.request("m")) == "a"
+    harness = Stage(worker("a", "n", arriving=arriving))
+    assert isinstance(harness.choose(harness.request("m", objective_s=1.0)), WaitForWorker)
+    harness.now_s += 0.4
+    harness.apply_workers(worker("a", "n", "m"))
+    assert harness.send(harness.request("m")) == "a"
 
 
-def test_a_request_that_a_load_makes_late_is_told_when_to_come_back() -> None:
+def test_a_request_that_a_load_makes_late_is_refused_with_retry_after() -> None:
     arriving = (ArrivingModel("m", "", 1.2),)
-    stage = Stage(worker("a", "n", arriving=arriving))
-    refusal = stage.choose(stage.request("m", objective_s=0.5, time_s=6.0))
+    harness = Stage(worker("a", "n", arriving=arriving))
+    refusal = harness.choose(harness.request("m", objective_s=0.5, time_s=6.0))
     assert isinstance(refusal, RefusedRequest)
     assert refusal.code == ResultCode.MODEL_LOADING
     assert refusal.retry_after_s is not None
     assert 1.2 <= refusal.retry_after_s <= 2.0
 
 
-def test_who_comes_again_waits_for_the_load() -> None:
+def test_a_retry_waits_for_the_load() -> None:
     arriving = (ArrivingModel("m", "", 0.8),)
-    stage = Stage(worker("a", "n", arriving=arriving))
-    stage.choose(stage.request("m", objective_s=0.5, time_s=6.0))
-    again = stage.request("m", objective_s=0.5, time_s=4.0)
-    assert isinstance(stage.choose(again), WaitForWorker)
-
-
-def test_who_comes_again_waits_longer_for_a_load_that_is_under_way() -> None:
-    # Given a load that ends within the time until the client gives up, but late in it
-    stage = Stage(worker("a", "n", arriving=(ArrivingModel("m", "", 1.5),)))
-    stage.choose(stage.request("m", objective_s=0.5, time_s=6.0))
-    again = stage.request("m", objective_s=0.5, time_s=4.0)
-    # When its client comes again
-    choice = stage.choose(again)
-    # Then it waits, for less than its client does
+    harness = Stage(worker("a", "n", arriving=arriving))
+    harness.choose(harness.request("m", objective_s=0.5, time_s=6.0))
+    again = harness.request("m", objective_s=0.5, time_s=4.0)
+    assert isinstance(harness.choose(again), WaitForWorker)
+
+
+def test_a_retry_waits_longer_for_a_load_that_is_under_way() -> None:
+    # Given a load that ends shortly before the client gives up
+    harness = Stage(worker("a", "n", arriving=(ArrivingModel("m", "", 1.5),)))
+    harness.choose(harness.request("m", objective_s=0.5, time_s=6.0))
+    again = harness.request("m", objective_s=0.5, time_s=4.0)
+    # When the client retries
+    choice = harness.choose(again)
+    # Then the request waits, for less time than its client
     assert isinstance(choice, WaitForWorker)
     assert 1.5 < choice.wait_s < 2.0
-    # And of a load that would end too late it is told at once
-    stage = Stage(worker("a", "n", arriving=(ArrivingModel("m", "", 1.9),)))
-    stage.choose(stage.request("m", objective_s=0.5, time_s=6.0))
-    again = stage.request("m", objective_s=0.5, time_s=4.0)
-    assert isinstance(stage.choose(again), RefusedRequest)
+    # And it is refused at once if the load would end too late
+    harness = Stage(worker("a", "n", arriving=(ArrivingModel("m", "", 1.9),)))
+    harness.choose(harness.request("m", objective_s=0.5, time_s=6.0))
+    again = harness.request("m", objective_s=0.5, time_s=4.0)
+    assert isinstance(harness.choose(again), RefusedRequest)
 
 
-def test_a_request_waits_for_a_late_load_that_no_advice_reaches() -> None:
+def test_a_request_waits_for_a_load_that_ends_after_any_retry_after() -> None:
     arriving = (ArrivingModel("m", "", 2.0),)
-    stage = Stage(worker("a", "n", arriving=arriving))
-    choice = stage.choose(stage.request("m", objective_s=0.6, time_s=5.0))
+    harness = Stage(worker("a", "n", arriving=arriving))
+    choice = harness.choose(harness.request("m", objective_s=0.6, time_s=5.0))
     assert isinstance(choice, WaitForWorker)
-    assert choice.wait_s < 0.5 * 2.4, "its client gives up after a silence of four objectives"
+    assert (
+        choice.wait_s < 0.5 * 2.4
+    ), "its client gives up four objectives after its arrival without an answer"
 
 
-def test_nobody_is_held_for_half_of_the_time_after_which_clients_give_up() -> None:
-    stage = Stage(worker("a", "n"))
-    request = stage.request("m", objective_s=0.6, time_s=3.6)
-    choice = stage.choose(request)
+def test_no_request_is_held_for_half_of_the_time_until_its_client_gives_up() -> None:
+    harness = Stage(worker("a", "n"))
+    request = harness.request("m", objective_s=0.6, time_s=3.6)
+    choice = harness.choose(request)
     while isinstance(choice, WaitForWorker):
-        stage.now_s += choice.wait_s
-        choice = stage.choose(request)
+        harness.now_s += choice.wait_s
+        choice = harness.choose(request)
     assert isinstance(choice, RefusedRequest)
-    assert stage.now_s - request.arrived_s < 0.5 * 2.4
+    assert harness.now_s - request.arrived_s < 0.5 * 2.4
     assert choice.retry_after_s is not None and choice.retry_after_s <= (3.6 - 1.0) / 3
 
 
-def test_without_any_worker_of_the_service_the_code_says_so() -> None:
-    stage = Stage(worker("a", "n"))
-    refusal = stage.choose(stage.request("", service="cards", objective_s=0.1, time_s=0.3))
+def test_a_request_without_any_worker_of_its_service_gets_no_worker() -> None:
+    harness = Stage(worker("a", "n"))
+    refusal = harness.choose(harness.request("", service="cards", objective_s=0.1, time_s=0.3))
     while isinstance(refusal, WaitForWorker):
-        stage.now_s += refusal.wait_s
-        refusal = stage.choose(stage.request("", service="cards", objective_s=0.1, time_s=0.3))
+        harness.now_s += refusal.wait_s
+        refusal = harness.choose(harness.request("", service="cards", objective_s=0.1, time_s=0.3))
         break
     assert not isinstance(refusal, ChosenWorker)
 
 
-def test_nothing_is_refused_while_a_holder_has_free_places() -> None:
-    stage = three("m")
+def test_no_request_is_refused_while_a_holder_has_free_slots() -> None:
+    harness = three_workers("m")
     for name in ("a", "b", "c") * 4:
-        stage.reaches(stage.request(prompt_tokens=1000), name, 4.0)
-    assert isinstance(stage.choose(stage.request(prompt_tokens=50_000, time_s=1.0)), ChosenWorker)
+        harness.serve_at(harness.request(prompt_tokens=1000), name, 4.0)
+    assert isinstance(harness.choose(harness.request(prompt_tokens=50_000, time_s=1.0)), ChosenWorker)
 
 
-def test_a_request_is_refused_when_all_places_are_taken_and_it_would_come_too_late() -> None:
-    stage = Stage(worker("a", service="cards", slots=2), worker("b", service="cards", slots=2))
+def test_a_request_is_refused_if_all_slots_are_taken_and_its_answer_would_be_too_late() -> None:
+    harness = Stage(worker("a", service="cards", slots=2), worker("b", service="cards", slots=2))
     for name in ("a", "b") * 6:
-        stage.reaches(stage.request("", service="cards"), name, 0.5, 0.0)
+        harness.serve_at(harness.request("", service="cards"), name, 0.5, 0.0)
     for name in ("a", "b"):
-        stage.selector.load_reported(name, 2, 8, 2, stage.now_s)
-    refusal = stage.choose(stage.request("", service="cards", time_s=0.6))
+        harness.selector.load_reported(name, 2, 8, 2, harness.now_s)
+    refusal = harness.choose(harness.request("", service="cards", time_s=0.6))
     assert isinstance(refusal, RefusedRequest)
     assert refusal.code == ResultCode.OVERLOADED
     assert refusal.retry_after_s is not None and 0 < refusal.retry_after_s <= 0.2
 
 
-# --- demand -----------------------------------------------------------------------------------------------
+# --- demand ---------------------------------------------------------------------------------------------
 
 
-def test_demand_tells_requests_workload_and_what_found_no_holder() -> None:
-    stage = Stage(worker("a", "m"))
+def test_demand_reports_requests_workload_and_requests_without_a_holder() -> None:
+    harness = Stage(worker("a", "m"))
     for _ in range(4):
-        stage.serve(stage.request("m"), 0.1, 0.4)
-    waiting = stage.request("n/x", objective_s=2.0)
-    stage.choose(waiting)
-    stage.choose(waiting)  # it asks again while it waits, and counts once
-    demand = {(d.service, d.model, d.adapter): d for d in stage.selector.take_demand(stage.now_s)}
-    held, missed = demand[SERVICE, "m", ""], demand[SERVICE, "n", "x"]
+        harness.serve(harness.request("m"), 0.1, 0.4)
+    waiting = harness.request("n/x", objective_s=2.0)
+    harness.choose(waiting)
+    harness.choose(waiting)  # a waiting request is chosen for again and counted once
+    demand = {(d.service, d.model, d.adapter): d for d in harness.selector.take_demand(harness.now_s)}
+    held, missing = demand[SERVICE, "m", ""], demand[SERVICE, "n", "x"]
     assert (held.requests, held.missing) == (4, 0)
     assert held.workload_s == pytest.approx(2.0)
-    assert (missed.requests, missed.missing) == (1, 1)
-    assert stage.selector.take_demand(stage.now_s) == ()
+    assert (missing.requests, missing.missing) == (1, 1)
+    assert harness.selector.take_demand(harness.now_s) == ()
 
 
-def test_the_learned_wait_for_loads_grows_with_what_loads_took() -> None:
-    stage = Stage(worker("a", "n"))
-    before = stage.choose(stage.request("m", objective_s=0.2, time_s=30.0))
+def test_the_learned_wait_grows_with_the_measured_load_times() -> None:
+    harness = Stage(worker("a", "n"))
+    before = harness.choose(harness.request("m", objective_s=0.2, time_s=30.0))
     assert isinstance(before, RefusedRequest) and before.retry_after_s is not None
-    stage.now_s += 6.0
-    stage.workers(worker("a", "n", "m"))
-    stage.workers(worker("a", "n"))
-    after = stage.choose(stage.request("m", objective_s=0.2, time_s=30.0))
+    harness.now_s += 6.0
+    harness.apply_workers(worker("a", "n", "m"))
+    harness.apply_workers(worker("a", "n"))
+    after = harness.choose(harness.request("m", objective_s=0.2, time_s=30.0))
     assert isinstance(after, RefusedRequest) and after.retry_after_s is not None
     assert after.retry_after_s > before.retry_after_s >= LOAD_S
 
 
-# --- herds ------------------------------------------------------------------------------------------------
+# --- randomness -----------------------------------------------------------------------------------------
 
 
-def test_edges_that_heard_the_same_do_not_all_choose_the_same_worker() -> None:
+def test_edges_with_the_same_load_reports_do_not_all_choose_the_same_worker() -> None:
     workers = [worker(f"w{number}", "m") for number in range(6)]
     chosen = set()
     for seed in range(12):
-        stage = Stage(*workers, seed=seed, edges=12)
+        harness = Stage(*workers, seed=seed, edges=12)
         for record in workers:
-            stage.selector.load_reported(record.instance, 2, 0, 16, stage.now_s)
-        chosen.add(stage.send(stage.request()))
+            harness.selector.load_reported(record.instance, 2, 0, 16, harness.now_s)
+        chosen.add(harness.send(harness.request()))
     assert len(chosen) >= 3
 
 
 def test_the_same_seed_and_events_give_the_same_choices() -> None:
-    def play() -> list[str]:
-        stage = Stage(*(worker(f"w{number}", "m") for number in range(5)), seed=3, edges=4)
-        draw = random.Random(5)
+    def run() -> list[str]:
+        harness = Stage(*(worker(f"w{number}", "m") for number in range(5)), seed=3, edges=4)
+        rng = random.Random(5)
         served = []
         for number in range(40):
-            parts = ((f"shared{draw.randrange(4)}", 1000), (f"own{number}", 200))
-            served.append(stage.serve(stage.request("m", parts if draw.random() < 0.5 else ())))
-            stage.selector.market_round(stage.now_s)
+            parts = ((f"shared{rng.randrange(4)}", 1000), (f"own{number}", 200))
+            served.append(harness.serve(harness.request("m", parts if rng.random() < 0.5 else ())))
+            harness.selector.market_round(harness.now_s)
         return served
 
-    assert play() == play()
+    assert run() == run()
 
 
-def test_a_worker_whose_streams_pause_long_gets_none_while_another_is_free() -> None:
-    # Given two holders with the same load, one of which is slower: its streams pause for longer
-    stage = Stage(worker("a", "m"), worker("b", "m"))
-    stream = replace(stage.request(), pause_objective_s=0.4)
+def test_a_worker_with_long_stream_pauses_gets_no_streams_while_another_is_free() -> None:
+    # Given two holders with the same load, one of them with longer pauses in its streams
+    harness = Stage(worker("a", "m"), worker("b", "m"))
+    stream = replace(harness.request(), pause_objective_s=0.4)
     for _ in range(8):
-        stage.selector.stream_passed(stream, "a", 0.5)
-        stage.selector.stream_passed(stream, "b", 0.2)
-    # When streams come, then the faster one gets them
-    streams = [replace(stage.request(), pause_objective_s=0.4) for _ in range(10)]
-    assert {stage.serve(one) for one in streams} == {"b"}
+        harness.selector.stream_passed(stream, "a", 0.5)
+        harness.selector.stream_passed(stream, "b", 0.2)
+    # When streams are requested, then the other one gets them
+    streams = [replace(harness.request(), pause_objective_s=0.4) for _ in range(10)]
+    assert {harness.serve(one) for one in streams} == {"b"}
 
 
-def test_what_was_learned_of_pauses_does_not_keep_requests_without_a_pause_objective_away() -> None:
-    stage = Stage(worker("a", "m"), worker("b", "m"))
-    stream = replace(stage.request(), pause_objective_s=0.4)
+def test_stream_pauses_do_not_affect_requests_without_a_pause_objective() -> None:
+    harness = Stage(worker("a", "m"), worker("b", "m"))
+    stream = replace(harness.request(), pause_objective_s=0.4)
     for _ in range(8):
-        stage.selector.stream_passed(stream, "a", 0.5)
+        harness.selector.stream_passed(stream, "a", 0.5)
     served = set()
     for _ in range(30):
-        served.add(stage.serve(stage.request()))
-        stage.selector.market_round(stage.now_s)
+        served.add(harness.serve(harness.request()))
+        harness.selector.market_round(harness.now_s)
     assert served == {"a", "b"}
 
 
-# --- what others found ------------------------------------------------------------------------------------
+# --- failures at other edges ----------------------------------------------------------------------------
 
 
-def test_a_worker_that_other_edges_found_failing_gets_nothing_while_another_holds_the_class() -> None:
-    # Given two holders, of which several edges found one failing
-    stage = Stage(replace(worker("a", "m"), troubled=True), worker("b", "m"))
-    # When requests come, then the other one gets them
-    assert {stage.serve(stage.request()) for _ in range(10)} == {"b"}
-    # But where both are found failing, both are used
-    stage.workers(*(replace(worker(name, "m"), troubled=True) for name in "ab"))
-    stage.selector.market_round(stage.now_s)
+def test_a_worker_found_failing_by_other_edges_gets_no_requests_while_another_holds_the_class() -> None:
+    # Given two holders, one of which several edges found failing
+    harness = Stage(replace(worker("a", "m"), troubled=True), worker("b", "m"))
+    # When requests arrive, then the other one gets them
+    assert {harness.serve(harness.request()) for _ in range(10)} == {"b"}
+    # But if both are found failing, both are used
+    harness.apply_workers(*(replace(worker(name, "m"), troubled=True) for name in "ab"))
+    harness.selector.market_round(harness.now_s)
     served = set()
     for _ in range(30):
-        served.add(stage.serve(stage.request()))
-        stage.selector.market_round(stage.now_s)
+        served.add(harness.serve(harness.request()))
+        harness.selector.market_round(harness.now_s)
     assert served == {"a", "b"}
 
 
-def test_failures_are_told_to_the_owner_once() -> None:
-    stage = Stage(worker("a", "m"))
-    request = stage.request()
-    stage.selector.sent(request, "a", stage.now_s)
-    stage.selector.ended(request, "a", Outcome.FAILED, stage.now_s)
-    assert stage.selector.take_failing() == ("a",)
-    assert stage.selector.take_failing() == ()
-
-
-def test_a_class_whose_only_holder_cannot_be_reached_is_missed_and_waited_for() -> None:
-    # Given the only holder of a class, to which no connection comes up
-    stage = Stage(worker("a", "m"), worker("b", "n"))
-    request = stage.request("m", objective_s=3.0)
-    stage.selector.sent(request, "a", stage.now_s)
-    stage.selector.ended(request, "a", Outcome.UNREACHABLE, stage.now_s)
-    # When it is asked for again, then it waits for a load elsewhere, and the owner is told that it is missed
-    assert isinstance(stage.choose(stage.request("m", objective_s=3.0)), WaitForWorker)
-    (demand,) = stage.selector.take_demand(stage.now_s)
+def test_failures_are_reported_to_the_placement_owner_once() -> None:
+    harness = Stage(worker("a", "m"))
+    request = harness.request()
+    harness.selector.sent(request, "a", harness.now_s)
+    harness.selector.ended(request, "a", Outcome.FAILED, harness.now_s)
+    assert harness.selector.take_failing() == ("a",)
+    assert harness.selector.take_failing() == ()
+
+
+def test_a_class_whose_only_holder_is_unreachable_counts_as_missing() -> None:
+    # Given the only holder of a class, to which connections fail
+    harness = Stage(worker("a", "m"), worker("b", "n"))
+    request = harness.request("m", objective_s=3.0)
+    harness.selector.sent(request, "a", harness.now_s)
+    harness.selector.ended(request, "a", Outcome.UNREACHABLE, harness.now_s)
+    # When the class is requested again, the request waits for a load elsewhere and counts as missing
+    assert isinstance(harness.choose(harness.request("m", objective_s=3.0)), WaitForWorker)
+    (demand,) = harness.selector.take_demand(harness.now_s)
     assert demand.missing == 1.0
-    # And a little later the holder is tried again
-    stage.now_s += 1.0
-    assert stage.send(stage.request("m")) == "a"
-
-
-def test_a_worker_that_denied_a_class_is_soon_asked_again() -> None:
-    # Given the only holder of a class, which says that it does not hold it
-    stage = Stage(worker("a", "m"))
-    request = stage.request("m", objective_s=2.0)
-    stage.selector.sent(request, "a", stage.now_s)
-    stage.selector.ended(request, "a", Outcome.MISDIRECTED, stage.now_s)
-    # When the request asks again, then it waits a moment, not for a whole load
-    choice = stage.choose(request)
+    # And the holder is tried again a little later
+    harness.now_s += 1.0
+    assert harness.send(harness.request("m")) == "a"
+
+
+def test_a_worker_that_answered_421_is_soon_tried_again() -> None:
+    # Given the only holder of a class, which answers 421 for it
+    harness = Stage(worker("a", "m"))
+    request = harness.request("m", objective_s=2.0)
+    harness.selector.sent(request, "a", harness.now_s)
+    harness.selector.ended(request, "a", Outcome.MISDIRECTED, harness.now_s)
+    # When a worker is chosen again, then the request waits for a moment, not for a whole load
+    choice = harness.choose(request)
     assert isinstance(choice, WaitForWorker) and choice.wait_s <= 0.2
-    # And then is sent there again
-    stage.now_s += choice.wait_s + 0.01
-    assert stage.send(request) == "a"
-
-
-def test_an_edge_without_a_free_connection_tells_nothing_against_the_worker() -> None:
-    # Given the only holder of a class, all of whose connections that this edge may open are in use
-    stage = Stage(worker("a", "m"))
-    request = stage.request("m")
-    stage.selector.sent(request, "a", stage.now_s)
-    stage.selector.ended(request, "a", Outcome.NO_CONNECTION_FREE, stage.now_s)
-    # Then the other edges hear nothing, and the next request may go there at once
-    assert stage.selector.take_failing() == ()
-    assert stage.send(stage.request("m")) == "a"
+    # And then it is sent there again
+    harness.now_s += choice.wait_s + 0.01
+    assert harness.send(request) == "a"
+
+
+def test_an_edge_without_a_free_connection_reports_no_failure() -> None:
+    # Given the only holder of a class, to which this edge has no free connection
+    harness = Stage(worker("a", "m"))
+    request = harness.request("m")
+    harness.selector.sent(request, "a", harness.now_s)
+    harness.selector.ended(request, "a", Outcome.NO_CONNECTION_FREE, harness.now_s)
+    # Then no failure is reported to other edges, and the next request may be sent there at once
+    assert harness.selector.take_failing() == ()
+    assert harness.send(harness.request("m")) == "a"
--- a/tests/system/test_selection_tokens.py
+++ b/tests/system/test_selection_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens are never minted or lost, in any order of what an edge may be told."""
+"""Market tokens are never duplicated or lost, in any order of events at an edge."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 NAMES = [f"w{number}" for number in range(5)]
 MODELS = ["m", "n", "m/x", "n/x,y"]
-ASKED = ["m", "n", "m/x", "n/y", "absent"]
+REQUESTED = ["m", "n", "m/x", "n/y", "absent"]
 
 
 class TokenMachine(RuleBasedStateMachine):
-    """Workers come, change, leave and come back; requests end in every way; the market has its rounds."""
+    """Workers are added, changed and removed; requests end with every outcome; market rounds run."""
 
     in_flight = Bundle("in_flight")
 
     def __init__(self) -> None:
         super().__init__()
-        self.stage = Stage(edges=3)
+        self.harness = Stage(edges=3)
         self.seen: dict[str, EngineWorker] = {}
 
     @rule(
@@ -35,40 +35,42 @@
             ),
         )
     )
-    def table(self, held: dict[str, tuple[str, list[str]]]) -> None:
-        self.stage.workers(*(worker(name, *models, state=state) for name, (state, models) in held.items()))
-        self.seen.update({f"{n} {id(w)}": w for n, w in self.stage.selector._workers.items()})
+    def apply_workers(self, held: dict[str, tuple[str, list[str]]]) -> None:
+        self.harness.apply_workers(
+            *(worker(name, *models, state=state) for name, (state, models) in held.items())
+        )
+        self.seen.update({f"{n} {id(w)}": w for n, w in self.harness.selector._workers.items()})
 
-    @rule(target=in_flight, model=strategies.sampled_from(ASKED), tokens=strategies.integers(1, 30_000))
+    @rule(target=in_flight, model=strategies.sampled_from(REQUESTED), tokens=strategies.integers(1, 30_000))
     def request(self, model: str, tokens: int) -> tuple[RequestProfile, str]:
-        request = self.stage.request(model, (("shared", 100), (f"own{tokens}", tokens)))
-        choice = self.stage.choose(request)
+        request = self.harness.request(model, (("shared", 100), (f"own{tokens}", tokens)))
+        choice = self.harness.choose(request)
         name = choice.instance if isinstance(choice, ChosenWorker) else ""
         if name:
-            self.stage.selector.sent(request, name, self.stage.now_s)
+            self.harness.selector.sent(request, name, self.harness.now_s)
         return request, name
 
     @rule(sent=in_flight, outcome=strategies.sampled_from(list(Outcome)), first=strategies.booleans())
     def end(self, sent: tuple[RequestProfile, str], outcome: Outcome, first: bool) -> None:
         request, name = sent
         if first:
-            self.stage.selector.first_event(request, name, self.stage.now_s)
-        self.stage.selector.ended(request, name, outcome, self.stage.now_s)
+            self.harness.selector.first_event(request, name, self.harness.now_s)
+        self.harness.selector.ended(request, name, outcome, self.harness.now_s)
 
     @rule(name=strategies.sampled_from(NAMES), running=strategies.integers(0, 40))
     def report(self, name: str, running: int) -> None:
-        self.stage.selector.load_reported(name, running, running // 4, 16, self.stage.now_s)
+        self.harness.selector.load_reported(name, running, running // 4, 16, self.harness.now_s)
 
     @rule(seconds=strategies.floats(0.01, 90.0))
     def time_passes(self, seconds: float) -> None:
-        self.stage.advance(min(seconds, 2.0))
-        self.stage.now_s += seconds
-        self.stage.selector.market_round(self.stage.now_s)
+        self.harness.advance(min(seconds, 2.0))
+        self.harness.now_s += seconds
+        self.harness.selector.market_round(self.harness.now_s)
 
     @invariant()
     def every_token_has_one_table_and_one_holder(self) -> None:
         listed: list[Token[EngineWorker]] = [
-            token for table in self.stage.selector.market.tables.values() for token in table.tokens
+            token for table in self.harness.selector.market.tables.values() for token in table.tokens
         ]
         held = [token for w in self.seen.values() for token in w.tokens]
         assert len(listed) == len({id(token) for token in listed})
@@ -77,8 +79,8 @@
         assert all(token in token.holder.tokens for token in listed)
 
     @invariant()
-    def nobody_unknown_holds_tokens(self) -> None:
-        known = self.stage.selector._workers.values()
+    def only_known_workers_hold_tokens(self) -> None:
+        known = self.harness.selector._workers.values()
         assert all(any(w is k for k in known) for w in self.seen.values() if w.tokens)
 
 
@@ -87,25 +89,25 @@
 
 
 @given(strategies.integers(1, 1_000))
-def test_of_many_edges_each_keeps_fewer_tokens_and_never_too_few(edges: int) -> None:
-    stage = Stage(edges=edges)
-    options = stage.selector.options
-    tokens = stage.selector.market.tokens_per_worker
+def test_many_edges_have_fewer_tokens_each_but_at_least_the_minimum(edges: int) -> None:
+    harness = Stage(edges=edges)
+    options = harness.selector.options
+    tokens = harness.selector.market.tokens_per_worker
     assert options.fewest_tokens_per_worker <= tokens <= options.tokens_per_worker
     if edges <= options.usual_edges:
         assert tokens == options.tokens_per_worker
 
 
 @given(strategies.lists(strategies.floats(0.0, 2.0), min_size=1, max_size=40), strategies.floats(0.0, 2.0))
-def test_a_mean_with_a_prior_stays_within_its_samples(samples: list[float], usual: float) -> None:
+def test_a_prior_mean_stays_within_its_samples(samples: list[float], prior: float) -> None:
     mean = PriorMean()
-    assert mean.get(usual) == usual
+    assert mean.get(prior) == prior
     for sample in samples:
-        mean.add(sample, usual)
-    assert min([*samples, usual]) - 1e-9 <= mean.get(0.0) <= max([*samples, usual]) + 1e-9
+        mean.add(sample, prior)
+    assert min([*samples, prior]) - 1e-9 <= mean.get(0.0) <= max([*samples, prior]) + 1e-9
 
 
-def test_a_mean_with_a_prior_follows_its_samples() -> None:
+def test_a_prior_mean_follows_its_samples() -> None:
     mean = PriorMean()
     for _ in range(10):
         mean.add(1.0, 0.0)
