--- a/arrowfold/scaling/zone_scaler.py
+++ b/arrowfold/scaling/zone_scaler.py
@@ -35,8 +35,8 @@
 class Situation:
     """What is known of a service and one of its zones at one time.
 
-    `zones`: the number of zones in which the service runs; they share its load evenly. `models_a_worker`: how
-    many models fit on a worker, 0 for a service without models.
+    `zones`: the number of zones in which the service runs; they share its load evenly.
+    `models_a_worker`: how many models fit on a worker; 0 for a service without models.
     """
 
     now_s: float
@@ -65,7 +65,7 @@
 
 
 class ZoneScaler:
-    """Decides for one zone during one tenure of the duty; `look` is to be called about once a second."""
+    """Decides for one zone during one tenure of the duty, evaluated about once a second."""
 
     def __init__(self, options: ScalingOptions) -> None:
         self._options = options
--- a/arrowfold/selection/engine_worker.py
+++ b/arrowfold/selection/engine_worker.py
@@ -163,6 +163,6 @@
         backlog = 0.0
         for attempt in self.in_flight.values():
             if attempt.first_event_s is None:
-                read = (now_s - attempt.sent_s) / seconds_per_token if seconds_per_token > 0 else 0.0
-                backlog = max(backlog, attempt.prefill_tokens + attempt.backlog_tokens - read)
+                read_tokens = (now_s - attempt.sent_s) / seconds_per_token if seconds_per_token > 0 else 0.0
+                backlog = max(backlog, attempt.prefill_tokens + attempt.backlog_tokens - read_tokens)
         return backlog
--- a/arrowfold/selection/first_events.py
+++ b/arrowfold/selection/first_events.py
@@ -64,19 +64,19 @@
         trend = self._trend(request.service, request.model)
         if trend is None:
             return 0.0
-        read = prefill_tokens + worker.backlog_tokens(now_s, trend.slope)
-        expected = trend.predict(read) * min(
+        read_tokens = prefill_tokens + worker.backlog_tokens(now_s, trend.slope)
+        expected_s = trend.predict(read_tokens) * min(
             MAX_LATENCY_FACTOR, max(MIN_LATENCY_FACTOR, worker.latency_factor.get(1.0))
         )
         half_life_s = self._options.delay_half_life_s
         waiting_s = worker.expected_other_waiting(now_s, half_life_s) * self._prefill_s(
             request.service, trend
         )
-        expected += max(worker.expected_delay_s(now_s, half_life_s), waiting_s)
-        ahead = worker.in_flight_count + other_requests + 1 - worker.slots
-        if ahead > 0:
-            expected += ahead / worker.slots * self.mean_run_s(request.service)
-        return expected
+        expected_s += max(worker.expected_delay_s(now_s, half_life_s), waiting_s)
+        excess_requests = worker.in_flight_count + other_requests + 1 - worker.slots
+        if excess_requests > 0:
+            expected_s += excess_requests / worker.slots * self.mean_run_s(request.service)
+        return expected_s
 
     def predict_unshared_s(self, request: RequestProfile, read_tokens: float) -> float:
         """Returns the seconds to the first event without requests of other edges; 0 while unknown."""
@@ -103,17 +103,21 @@
 
     def record_first_event(self, worker: EngineWorker, attempt: InFlightAttempt, now_s: float) -> None:
         """Records the time to an attempt's first event."""
-        took = now_s - attempt.sent_s
+        elapsed_s = now_s - attempt.sent_s
         request = attempt.request
-        read = attempt.prefill_tokens + attempt.backlog_tokens
+        read_tokens = attempt.prefill_tokens + attempt.backlog_tokens
         trend = self._trends.get((request.service, request.model))
-        if trend is not None and trend.samples >= MIN_MODEL_SAMPLES and (expected := trend.predict(read)) > 0:
-            worker.record_delay(took - expected, now_s)
+        if (
+            trend is not None
+            and trend.samples >= MIN_MODEL_SAMPLES
+            and (expected_s := trend.predict(read_tokens)) > 0
+        ):
+            worker.record_delay(elapsed_s - expected_s, now_s)
             # The line is that of a worker without requests of other edges, which lengthen the measured time.
-            took = min(took, MAX_SAMPLE_RATIO * expected)
-            worker.latency_factor.add(took / expected)
+            elapsed_s = min(elapsed_s, MAX_SAMPLE_RATIO * expected_s)
+            worker.latency_factor.add(elapsed_s / expected_s)
         for name in {(request.service, request.model), (request.service, "")}:
-            self._trends.setdefault(name, Trend()).add(read, took)
+            self._trends.setdefault(name, Trend()).add(read_tokens, elapsed_s)
 
     def record_run(self, service: str, run_s: float) -> None:
         """Records the time from sending a successful attempt to its end."""
--- a/arrowfold/selection/market_selector.py
+++ b/arrowfold/selection/market_selector.py
@@ -28,7 +28,8 @@
 from arrowfold.selection.options import SelectionOptions
 from arrowfold.selection.prompt_parts import affinity_key, rendezvous
 
-MISSING_RECOUNT_S = 0.5  # a waiting request is counted as missing again: the placement owner may have changed
+# A waiting request is counted as missing again after this time, since the placement owner may have changed.
+MISSING_RECOUNT_S = 0.5
 MAX_RELATIVE_PAUSE = 2.0  # a longer pause of a stream counts as this multiple of its objective
 MAX_REMEMBERED_REQUESTS = 4096  # entries kept for requests that wait, and for those chosen but not sent yet
 REPORTED_FAILURES = frozenset({Outcome.FAILED, Outcome.UNREACHABLE, Outcome.LOST})  # reported to other edges
@@ -90,7 +91,7 @@
         self.admission = Admission(self.options, self._rng)
         self._relative_pauses: dict[str, MovingMean] = {}  # mean over all workers, by service
         self._demand: dict[RequestClass, DemandCounts] = {}
-        self._failing: dict[str, None] = {}  # workers at which requests failed since the last report
+        self._failed_workers: dict[str, None] = {}  # workers at which requests failed since the last report
         self._chosen_prefill_tokens: dict[str, float] = {}  # of requests with a chosen worker, not sent yet
         self._counted_missing_s: dict[str, float] = {}  # when a waiting request was last counted as missing
 
@@ -199,7 +200,7 @@
         if outcome in FAILURE_PENALTIES and self.options.strikes:
             worker.add_failure_penalty(now_s, self.options.strike_half_life_s, FAILURE_PENALTIES[outcome])
         if outcome in REPORTED_FAILURES:
-            self._failing[instance] = None
+            self._failed_workers[instance] = None
         if outcome is Outcome.UNREACHABLE and self.options.unreachable_s > 0:
             worker.set_unreachable(now_s + self.options.unreachable_s)
         if outcome is Outcome.MISDIRECTED:
@@ -233,7 +234,7 @@
     def _round_interval_s(self) -> float:
         """Returns the minimum time between two rounds of trades.
 
-        It grows with the number of edges: with many, the load changes little by the requests of one edge.
+        It grows with the number of edges: with many, each of them sees little change between rounds.
         """
         longest_s = self.options.longest_round_s
         return min(
@@ -256,8 +257,8 @@
 
     def take_failing(self) -> tuple[str, ...]:
         """Returns and clears the workers at which requests failed."""
-        failing, self._failing = self._failing, {}
-        return tuple(failing)
+        failed_workers, self._failed_workers = self._failed_workers, {}
+        return tuple(failed_workers)
 
     def _mean_run_s(self, request_class: RequestClass) -> float:
         table = self.market.tables.get(request_class)
--- a/arrowfold/selection/prompt_parts.py
+++ b/arrowfold/selection/prompt_parts.py
@@ -13,7 +13,10 @@
 
 
 class PromptCacheEstimate:
-    """An LRU model of a worker's prompt cache, built from the prompt parts that this edge sent there."""
+    """An estimate of a worker's prompt cache, based on the prompt parts that this edge sent there.
+
+    The least recently used parts are evicted first.
+    """
 
     def __init__(self, capacity_tokens: float) -> None:
         self.capacity_tokens = capacity_tokens
