--- a/arrowfold/placement/__init__.py
+++ b/arrowfold/placement/__init__.py
@@ -1,5 +1,5 @@
-"""Model placement: which model and adapter is loaded on which worker of a service.
+"""Model placement: decides which models and adapters are loaded on which workers of a service.
 
-Pure decisions: time is passed in, and orders and reports go through the caller (controlplane). One
-`ServicePlacer` works for one service on the node that owns the role `placement/SERVICE`.
+The package does no I/O: time is passed in, and the caller (controlplane) sends orders and reads reports. One
+`ServicePlacer` serves one service, on the control node that owns the role `placement/SERVICE`.
 """
--- a/arrowfold/placement/catalogue.py
+++ b/arrowfold/placement/catalogue.py
@@ -1,4 +1,4 @@
-"""The models of a service and the room of its workers, as the operator's configuration gives them."""
+"""Models of a service and memory of its workers, from the operator's configuration."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSpec:
-    """One model that may be loaded. `adapters` is how many exist; they are named a1, a2 and so on."""
+    """One model that can be loaded. `adapters` is the number of its adapters, named a1, a2 and so on."""
 
     name: str
     weights_mb: float
-    load_time_s: float  # from the weight store, while few loads run
+    load_time_s: float  # from the weight store, unless it is overloaded
     adapters: int
     adapter_size_mb: float
 
 
 @dataclass(frozen=True, slots=True)
 class ModelCatalogue:
-    """All models of a service, and what one worker can hold of them."""
+    """All models of a service, and the capacity of one worker."""
 
     service: str
     models: Mapping[str, ModelSpec]
-    weights_mb: float  # room of a worker for weights and adapters together
-    adapter_capacity: int  # adapters that a worker can hold, over all its models
-    load_rate_s: float  # loads a second that the weight store allows over all workers
+    weights_mb: float  # memory of a worker for weights and adapters together
+    adapter_capacity: int  # adapters that a worker can hold, across all its models
+    load_rate_s: float  # loads per second that the weight store allows, across all workers
 
-    def known(self, model: str, adapter: str = "") -> bool:
-        """True if the configuration lists this model, and this adapter of it where one is named."""
+    def has_class(self, model: str, adapter: str = "") -> bool:
+        """Returns True if the configuration lists this model and, unless empty, this adapter of it."""
         spec = self.models.get(model)
         if spec is None:
             return False
@@ -40,13 +40,13 @@
 
     @property
     def parallel_loads(self) -> int:
-        """How many loads the store carries at once at full speed, judged by its rate and the load time."""
+        """Number of concurrent loads that the weight store carries at full speed (rate x load time)."""
         longest = max((spec.load_time_s for spec in self.models.values()), default=1.0)
         return max(1, math.ceil(self.load_rate_s * longest - 1e-9))
 
 
 def catalogue_of(service: Mapping[str, Any]) -> ModelCatalogue | None:
-    """The catalogue of one service of a valid configuration document; None if it lists no models."""
+    """Returns the catalogue of one service of a valid configuration document; None if it lists no models."""
     engine = service.get("engine") or {}
     documents = engine.get("models") or []
     if not documents:
--- a/arrowfold/placement/corrections.py
+++ b/arrowfold/placement/corrections.py
@@ -1,4 +1,4 @@
-"""Corrections of workers' records: what the owner of the placement knows ahead of the next heartbeat."""
+"""Corrections of worker records: state that the placement owner knows before the next heartbeat."""
 
 from __future__ import annotations
 
@@ -11,21 +11,24 @@
 
 
 def correction_of(record: WorkerRecord, worker: WorkerState, now_s: float) -> WorkerCorrection | None:
-    """What the record should read; None if it reads so already and nothing arrives."""
+    """Returns the corrected state of a worker.
+
+    None if the record is correct, nothing is being loaded and the worker is not failing.
+    """
     models = _ready_models(record, worker)
     arriving = _arriving(worker, now_s)
-    troubled = worker.is_troubled
+    troubled = worker.is_failing
     if not (arriving or troubled) and _as_sets(models) == _as_sets(record.models):
         return None
     return WorkerCorrection(record.instance, models, arriving, troubled)
 
 
-def same_corrections(one: Iterable[WorkerCorrection], other: Iterable[WorkerCorrection]) -> bool:
-    """True if both say the same, apart from how soon what is arriving will be ready."""
-    return {_content(item) for item in one} == {_content(item) for item in other}
+def same_corrections(first: Iterable[WorkerCorrection], second: Iterable[WorkerCorrection]) -> bool:
+    """Returns True if both are equal, apart from the remaining times of loads."""
+    return {_comparable(item) for item in first} == {_comparable(item) for item in second}
 
 
-def _content(correction: WorkerCorrection) -> tuple[object, ...]:
+def _comparable(correction: WorkerCorrection) -> tuple[object, ...]:
     arriving = tuple((item.model, item.adapter) for item in correction.arriving)
     return correction.instance, correction.models, arriving, correction.troubled
 
@@ -34,7 +37,7 @@
     versions = {model.name: model.version for model in record.models}
     return tuple(
         HeldModel(name, versions.get(name, 1), _ready_adapters(worker, name))
-        for name in sorted({*worker.holdings, worker.arriving_model() or ""})
+        for name in sorted({*worker.holdings, worker.loading_model() or ""})
         if worker.holds(name)
     )
 
@@ -48,7 +51,7 @@
 
 def _arriving(worker: WorkerState, now_s: float) -> tuple[ArrivingModel, ...]:
     pending = worker.pending
-    if pending is None or pending.phase is not OrderPhase.RUNNING or pending.presumed_done:
+    if pending is None or pending.phase is not OrderPhase.RUNNING or pending.is_presumed_done:
         return ()
     if pending.order.operation is not Operation.LOAD or math.isinf(pending.expected_done_s):
         return ()
--- a/arrowfold/placement/eviction.py
+++ b/arrowfold/placement/eviction.py
@@ -1,4 +1,4 @@
-"""What has to be unloaded from a worker so that something else fits, at the smallest loss."""
+"""Choice of victims: what to unload from a worker so that a load fits, at the smallest loss of value."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from arrowfold.placement.demand import DemandEstimator, ModelClass
 from arrowfold.placement.options import EvictionOptions
 from arrowfold.placement.valuation import CopyValuation
-from arrowfold.placement.worker_state import WorkerState, order_mb
+from arrowfold.placement.worker_state import WorkerState, load_size_mb
 
-UNLISTED_LOSS = -1.0  # of a model that the configuration no longer lists: it goes first
+UNLISTED_LOSS = -1.0  # loss of a model that the configuration no longer lists: it is evicted first
 
 
 @dataclass(frozen=True, slots=True)
 class Victim:
-    """Something to unload, and what that loses in worth a second."""
+    """A model or adapter to unload, and the value per second lost by that."""
 
     loss: float
     target: ModelClass
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanningContext:
-    """Everything that a decision at one moment looks at."""
+    """Inputs of all planning decisions at one point in time."""
 
     catalogue: ModelCatalogue
     demand: DemandEstimator
@@ -33,8 +33,8 @@
     _evictable: dict[str, list[Victim]] = field(default_factory=dict)  # by instance, the least valuable first
 
     def victims(self, worker: WorkerState, target: ModelClass) -> list[Victim] | None:
-        """What has to go before the target fits; None if it can't be made to fit now."""
-        if target.adapter and worker.adapters_held() >= self.catalogue.adapter_capacity:
+        """Returns what has to be unloaded before the target fits, or None if it cannot be made to fit now."""
+        if target.adapter and worker.adapter_count() >= self.catalogue.adapter_capacity:
             return self._adapter_victim(worker)
         if self._fits_without(worker, target, frozenset()):
             return []
@@ -43,15 +43,15 @@
             if victim.target.model == target.model:
                 continue
             victims.append(victim)
-            if self._fits_without(worker, target, frozenset(gone.target.model for gone in victims)):
+            if self._fits_without(worker, target, frozenset(chosen.target.model for chosen in victims)):
                 return victims
         return None
 
     def _evictable_models(self, worker: WorkerState) -> list[Victim]:
-        """Models that may be unloaded from this worker, the least valuable first."""
-        known = self._evictable.get(worker.instance)
-        if known is not None:
-            return known
+        """Returns the models that may be unloaded from this worker, the least valuable first."""
+        cached = self._evictable.get(worker.instance)
+        if cached is not None:
+            return cached
         candidates = [
             Victim(self._model_loss(worker, model), ModelClass(model))
             for model in worker.holdings
@@ -62,39 +62,43 @@
         return ordered
 
     def cheapest_model(self, worker: WorkerState) -> Victim | None:
-        """The model whose unload from this worker loses least, of those that may go now."""
+        """Returns the model whose unload from this worker loses least, of those that may be unloaded now."""
         return next(iter(self._evictable_models(worker)), None)
 
     def _is_evictable(self, worker: WorkerState, model: str) -> bool:
-        if not self.catalogue.known(model):
+        if not self.catalogue.has_class(model):
             return True
-        if self.now_s - worker.holdings[model].since_s < self.options.residence_s:
+        if self.now_s - worker.holdings[model].loaded_s < self.options.residence_s:
             return False
-        asked_lately = self.now_s - self.demand.model(model).asked_s < self.options.recent_s
-        return not asked_lately or self.values.copies(model) > 1
+        is_recent = self.now_s - self.demand.model(model).last_request_s < self.options.recent_s
+        return not is_recent or self.values.copies(model) > 1
 
     def _model_loss(self, worker: WorkerState, model: str) -> float:
-        return self.values.loss(worker, model) if self.catalogue.known(model) else UNLISTED_LOSS
+        return self.values.loss(worker, model) if self.catalogue.has_class(model) else UNLISTED_LOSS
 
-    def _fits_without(self, worker: WorkerState, target: ModelClass, gone: frozenset[str]) -> bool:
-        kept = (item for item in worker.holdings.items() if item[0] not in gone)
+    def _fits_without(self, worker: WorkerState, target: ModelClass, removed: frozenset[str]) -> bool:
+        kept = (item for item in worker.holdings.items() if item[0] not in removed)
         used_mb = sum(
             worker.holding_mb(self.catalogue, model, len(holding.adapters)) for model, holding in kept
         )
-        return used_mb + order_mb(self.catalogue, target.model, target.adapter) <= self.catalogue.weights_mb
+        return (
+            used_mb + load_size_mb(self.catalogue, target.model, target.adapter) <= self.catalogue.weights_mb
+        )
 
     def _adapter_victim(self, worker: WorkerState) -> list[Victim] | None:
-        """The adapter whose loss is smallest; of equal ones the one that was asked for longest ago."""
+        """Returns the adapter with the smallest loss; of equal ones the least recently requested one."""
         adapters = [
             ModelClass(model, adapter)
             for model, holding in worker.holdings.items()
             for adapter in holding.adapters
         ]
-        idle = [key for key in adapters if self.now_s - self._asked_s(key) > self.options.adapter_recent_s]
+        idle = [
+            key for key in adapters if self.now_s - self._last_request_s(key) > self.options.adapter_recent_s
+        ]
         if not idle:
             return None
-        victim = min(idle, key=lambda key: (self.values.adapter_loss(key), self._asked_s(key), key))
+        victim = min(idle, key=lambda key: (self.values.adapter_loss(key), self._last_request_s(key), key))
         return [Victim(self.values.adapter_loss(victim), victim)]
 
-    def _asked_s(self, key: ModelClass) -> float:
-        return self.demand.of_class(key).asked_s
+    def _last_request_s(self, key: ModelClass) -> float:
+        return self.demand.of_class(key).last_request_s
--- a/arrowfold/placement/failure_reports.py
+++ b/arrowfold/placement/failure_reports.py
@@ -1,4 +1,4 @@
-"""Which workers edges find failing: what one edge learns at its own cost, the others need not learn again."""
+"""Failure reports of edge nodes, shared so that other edge nodes avoid a failing worker beforehand."""
 
 from __future__ import annotations
 
@@ -10,41 +10,47 @@
 
 
 @dataclass(slots=True)
-class _Reports:
-    """The reports on one worker."""
+class _WorkerFailures:
+    """Failure reports on one worker."""
 
-    by_edge_s: dict[str, float] = field(default_factory=dict)  # when each edge last told of a failure there
-    troubled_until_s: float = -math.inf
+    last_report_s_by_edge: dict[str, float] = field(
+        default_factory=dict
+    )  # time of the last report of each edge node
+    failing_until_s: float = -math.inf
 
 
 class FailureReports:
-    """Takes edges' reports and tells which workers are in trouble.
+    """Collects failure reports of edge nodes and determines which workers are failing.
 
-    One edge alone may be cut off, or may have sent a request that fails anywhere. So it takes reports of
-    `edges` edges within `window_s`; what they told holds for `hold_s` after the last of them, so that a
-    worker that recovers is soon tried again.
+    A single edge node may be partitioned, or may have sent a request that fails on any worker. A worker
+    therefore counts as failing only after reports of `edges` edge nodes within `window_s`, and only for
+    `hold_s` after the last of them, so that a recovered worker is soon used again.
     """
 
     def __init__(self, options: FailureOptions) -> None:
         self._options = options
-        self._reports: dict[str, _Reports] = {}
+        self._reports: dict[str, _WorkerFailures] = {}
 
-    def note(self, edge: str, instances: Iterable[str], now_s: float) -> None:
-        """An edge tells that requests failed at these workers since its last report."""
+    def record(self, edge: str, instances: Iterable[str], now_s: float) -> None:
+        """Records that requests of an edge node failed at these workers since its last report."""
         for instance in instances:
-            reports = self._reports.setdefault(instance, _Reports())
-            reports.by_edge_s[edge] = now_s
-            recent = [at_s for at_s in reports.by_edge_s.values() if now_s - at_s < self._options.window_s]
+            reports = self._reports.setdefault(instance, _WorkerFailures())
+            reports.last_report_s_by_edge[edge] = now_s
+            recent = [
+                at_s
+                for at_s in reports.last_report_s_by_edge.values()
+                if now_s - at_s < self._options.window_s
+            ]
             if len(recent) >= self._options.edges:
-                reports.troubled_until_s = now_s + self._options.hold_s
+                reports.failing_until_s = now_s + self._options.hold_s
 
-    def is_troubled(self, instance: str, now_s: float) -> bool:
-        """Whether edges found this worker failing lately."""
+    def is_failing(self, instance: str, now_s: float) -> bool:
+        """Returns True if enough edge nodes have reported failures of this worker recently."""
         reports = self._reports.get(instance)
-        return reports is not None and now_s < reports.troubled_until_s
+        return reports is not None and now_s < reports.failing_until_s
 
-    def forget_all_but(self, instances: Iterable[str]) -> None:
-        """Drop what was told of workers that are gone."""
+    def retain_only(self, instances: Iterable[str]) -> None:
+        """Drops the reports on all other workers."""
         kept = set(instances)
         for instance in [known for known in self._reports if known not in kept]:
             del self._reports[instance]
--- a/arrowfold/placement/intents.py
+++ b/arrowfold/placement/intents.py
@@ -1,4 +1,4 @@
-"""What each worker is being prepared for: the loads that are decided on and not accepted yet."""
+"""Load intents: loads that are planned for a worker and not accepted by it yet."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadIntent:
-    """What a worker is being prepared for; unloads come first where there is no room."""
+    """A load planned for a worker; unloads precede it where memory is short."""
 
     target: ModelClass
     urgent: bool  # a request is waiting for it
-    since_s: float
-    begun: bool = False  # something was unloaded for it
-    pressing: bool = False  # a further copy that gains more than a request that waits
+    planned_s: float
+    has_sent_unload: bool = False  # an unload for it was sent
+    pressing: bool = False  # an additional copy with a gain above `pressing_gain`
 
 
 class LoadIntents:
-    """At most one intent for each worker, by instance."""
+    """Load intents by instance, at most one for each worker."""
 
     def __init__(self) -> None:
         self._by_instance: dict[str, LoadIntent] = {}
@@ -31,68 +31,72 @@
         return instance in self._by_instance
 
     def __iter__(self) -> Iterator[tuple[str, LoadIntent]]:
-        """All intents, as they are at this moment."""
+        """Iterates over a copy of all intents, so that they can be dropped meanwhile."""
         return iter(tuple(self._by_instance.items()))
 
     def get(self, instance: str) -> LoadIntent | None:
-        """What this worker is being prepared for."""
+        """Returns the load intent of this worker, or None."""
         return self._by_instance.get(instance)
 
     def add(self, instance: str, intent: LoadIntent) -> None:
-        """Prepare this worker for a load."""
+        """Sets the load intent of this worker."""
         self._by_instance[instance] = intent
 
     def drop(self, instance: str) -> None:
-        """The load was accepted, or can't be done there."""
+        """Removes the load intent of this worker, if there is one."""
         self._by_instance.pop(instance, None)
 
     def note_unload(self, instance: str) -> None:
-        """Something is being unloaded for the intent of this worker."""
+        """Records that an unload for the intent of this worker is being sent."""
         intent = self._by_instance.get(instance)
         if intent is not None:
-            self._by_instance[instance] = replace(intent, begun=True)
+            self._by_instance[instance] = replace(intent, has_sent_unload=True)
 
-    def begun(self, beside: str) -> int:
-        """Workers, apart from this one, on which something was unloaded for a load that has not been sent."""
-        return sum(1 for instance, intent in self._by_instance.items() if intent.begun and instance != beside)
+    def count_emptying(self, excluding: str) -> int:
+        """Returns the number of other workers with an unload for a load that was not accepted yet."""
+        return sum(
+            1
+            for instance, intent in self._by_instance.items()
+            if intent.has_sent_unload and instance != excluding
+        )
 
-    def begun_copies(self, beside: str) -> int:
-        """The same, for further copies only."""
+    def count_emptying_for_copies(self, excluding: str) -> int:
+        """Returns the same as `count_emptying`, for additional copies only."""
         return sum(
             1
             for instance, intent in self._by_instance.items()
-            if intent.begun and not intent.urgent and instance != beside
+            if intent.has_sent_unload and not intent.urgent and instance != excluding
         )
 
-    def has_waiting_urgent(self) -> bool:
-        """Whether a model for which requests wait has a worker, and nothing was unloaded there yet."""
+    def has_unstarted_urgent(self) -> bool:
+        """Returns True if an urgent load of a model is planned for which no unload was sent."""
         return any(
-            intent.urgent and not intent.begun and not intent.target.adapter
+            intent.urgent and not intent.has_sent_unload and not intent.target.adapter
             for intent in self._by_instance.values()
         )
 
-    def in_order(self) -> list[str]:
-        """The workers with an intent, the most urgent first."""
-        return sorted(self._by_instance, key=lambda instance: _urgency(self._by_instance[instance]))
+    def instances_by_urgency(self) -> list[str]:
+        """Returns the instances with an intent, the most urgent first."""
+        return sorted(self._by_instance, key=lambda instance: _urgency_key(self._by_instance[instance]))
 
     def includes(self, target: ModelClass) -> bool:
-        """Whether some worker is being prepared for exactly this class."""
+        """Returns True if a load of exactly this class is planned."""
         return any(intent.target == target for intent in self._by_instance.values())
 
     def planned_copies(self, workers: dict[str, WorkerState]) -> Counter[str]:
-        """For each model the workers that are being prepared for it and don't load it yet."""
+        """Counts for each model the workers with an intent for it that are not loading it yet."""
         return Counter(
             intent.target.model
             for instance, intent in self._by_instance.items()
-            if not intent.target.adapter and workers[instance].arriving_model() != intent.target.model
+            if not intent.target.adapter and workers[instance].loading_model() != intent.target.model
         )
 
-    def spreading(self) -> int:
-        """Workers that are being prepared for further copies of models."""
+    def count_additional_copies(self) -> int:
+        """Returns the number of workers with an intent for an additional copy of a model."""
         return sum(
             1 for intent in self._by_instance.values() if not intent.target.adapter and not intent.urgent
         )
 
 
-def _urgency(intent: LoadIntent) -> tuple[bool, float]:
-    return not (intent.urgent or intent.pressing), intent.since_s
+def _urgency_key(intent: LoadIntent) -> tuple[bool, float]:
+    return not (intent.urgent or intent.pressing), intent.planned_s
--- a/arrowfold/placement/load_times.py
+++ b/arrowfold/placement/load_times.py
@@ -1,42 +1,47 @@
-"""How long loads take: the configuration's figure, corrected by what was measured."""
+"""Expected durations of loads and unloads: configured values, corrected by observed durations."""
 
 from __future__ import annotations
 
 from arrowfold.placement.catalogue import ModelSpec
 
-OWN_DISK_RATIO = 0.6  # of the store's time, until one was measured
-RATIO_WEIGHT = 0.3  # of a new measurement
-LOWEST_RATIO = 0.05
+INITIAL_OWN_DISK_RATIO = (
+    0.6  # load time from a worker's own disk relative to the weight store, before the first load
+)
+OWN_DISK_RATIO_WEIGHT = 0.3  # weight of a new observation
+MIN_OWN_DISK_RATIO = 0.05
 ADAPTER_LOAD_S = 0.03
-FIRST_UNLOAD_S = 0.05  # of what has no runs, until one took longer
-LONGEST_UNLOAD_S = 0.3
+INITIAL_UNLOAD_S = 0.05  # expected unload time of a model without running requests
+MAX_UNLOAD_S = 0.3
 UNLOAD_GROWTH = 1.5  # after an unload that took longer than expected
 UNLOAD_DECAY = 0.98  # after one that did not
 
 
 class LoadTimes:
-    """Expected times of loads, learned separately for the store and for a worker's own disk."""
+    """Expected load times, separately for the weight store and for a worker's own disk.
+
+    The time from a worker's own disk and the time of an unload adapt to observations.
+    """
 
     def __init__(self) -> None:
-        self._own_disk_ratio = OWN_DISK_RATIO
-        self.unload_s = FIRST_UNLOAD_S
+        self._own_disk_ratio = INITIAL_OWN_DISK_RATIO
+        self.unload_s = INITIAL_UNLOAD_S
 
     def expected_s(
         self, spec: ModelSpec, from_own_disk: bool, store_loads: int, parallel_loads: int
     ) -> float:
-        """The time from acceptance to the end of a load, with so many loads from the store at once."""
+        """Returns the time from acceptance to the end of a load, with `store_loads` loads from the store."""
         if from_own_disk:
             return spec.load_time_s * self._own_disk_ratio
         return spec.load_time_s * max(1.0, store_loads / parallel_loads)
 
-    def unload_seen(self, in_time: bool) -> None:
-        """The next order told whether an unload was done in the expected time."""
+    def record_unload(self, in_time: bool) -> None:
+        """Records whether an unload ended within the expected time."""
         factor = UNLOAD_DECAY if in_time else UNLOAD_GROWTH
-        self.unload_s = min(LONGEST_UNLOAD_S, self.unload_s * factor)
+        self.unload_s = min(MAX_UNLOAD_S, self.unload_s * factor)
 
-    def measured(self, spec: ModelSpec, from_own_disk: bool, took_s: float) -> None:
-        """Take a measured load."""
+    def record_load(self, spec: ModelSpec, from_own_disk: bool, took_s: float) -> None:
+        """Records the duration of a load; only loads from a worker's own disk are used."""
         if not from_own_disk or spec.load_time_s <= 0:
             return
-        ratio = min(1.0, max(LOWEST_RATIO, took_s / spec.load_time_s))
-        self._own_disk_ratio += RATIO_WEIGHT * (ratio - self._own_disk_ratio)
+        ratio = min(1.0, max(MIN_OWN_DISK_RATIO, took_s / spec.load_time_s))
+        self._own_disk_ratio += OWN_DISK_RATIO_WEIGHT * (ratio - self._own_disk_ratio)
--- a/arrowfold/placement/load_trace.py
+++ b/arrowfold/placement/load_trace.py
@@ -1,4 +1,4 @@
-"""How long each step of a load took at the owner of the placement, for `explain`."""
+"""Durations of the steps of a load at the placement owner, for `explain`."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from arrowfold.placement.worker_state import PendingOrder
 
 KIND = "load"
-MOST_KEPT = 256  # records that nobody has taken yet
+MAX_KEPT_TRACES = 256  # older traces that were not taken are dropped
 
 
 @dataclass(frozen=True, slots=True)
 class LoadTrace:
-    """One load that a worker accepted; times by the owner's clock, in seconds."""
+    """One load that a worker accepted; times are in seconds by the owner's clock."""
 
     instance: str
     model: str
     adapter: str
-    urgent: bool  # a request waited for it
-    missed_s: float  # since when its class has been missed; -inf where it was not
+    urgent: bool  # a request was waiting for it
+    first_miss_s: float  # first missed request for its class; -inf if there was none
     planned_s: float
-    room_begun_s: float | None  # when an unload for it was sent; None where there was room
+    unload_sent_s: float | None  # first unload for it; None if none was necessary
     sent_s: float
     accepted_s: float
     expected_done_s: float
 
     def record(self) -> dict[str, Any]:
-        """The fields of its record: the time of the order, and whole milliseconds from step to step."""
-        planned_after = self.planned_s - self.missed_s if math.isfinite(self.missed_s) else None
-        room = self.room_begun_s
+        """Returns the fields of the trace record: time of the order in s, durations of steps in whole ms."""
+        planned_after = self.planned_s - self.first_miss_s if math.isfinite(self.first_miss_s) else None
+        unload_sent_s = self.unload_sent_s
         return {
             "at": round(self.sent_s, 3),
             "worker": self.instance,
@@ -40,8 +40,8 @@
             "adapter": self.adapter,
             "urgent": self.urgent,
             "missed_to_planned": _ms(planned_after),
-            "planned_to_room": _ms(None if room is None else room - self.planned_s),
-            "room_to_order": _ms(None if room is None else self.sent_s - room),
+            "planned_to_room": _ms(None if unload_sent_s is None else unload_sent_s - self.planned_s),
+            "room_to_order": _ms(None if unload_sent_s is None else self.sent_s - unload_sent_s),
             "planned_to_order": _ms(self.sent_s - self.planned_s),
             "order_to_accepted": _ms(self.accepted_s - self.sent_s),
             "accepted_to_done": _ms(self.expected_done_s - self.accepted_s),
@@ -49,29 +49,29 @@
 
 
 class LoadTraces:
-    """Notes the steps of loads until they are accepted."""
+    """Collects the steps of loads until they are accepted."""
 
     def __init__(self) -> None:
-        self._room_begun_s: dict[str, float] = {}  # by instance
-        self._accepted: deque[LoadTrace] = deque(maxlen=MOST_KEPT)
+        self._unload_sent_s: dict[str, float] = {}  # by instance
+        self._accepted: deque[LoadTrace] = deque(maxlen=MAX_KEPT_TRACES)
 
-    def room_begun(self, instance: str, now_s: float) -> None:
-        """An unload that makes room for a load is being sent."""
-        self._room_begun_s.setdefault(instance, now_s)
+    def note_unload_sent(self, instance: str, now_s: float) -> None:
+        """Records that an unload for a load is being sent."""
+        self._unload_sent_s.setdefault(instance, now_s)
 
-    def accepted(self, pending: PendingOrder, intent: LoadIntent, missed_s: float) -> None:
-        """A worker carries out a load that this intent led to."""
+    def note_accepted(self, pending: PendingOrder, intent: LoadIntent, first_miss_s: float) -> None:
+        """Records that a worker has accepted the load of this intent."""
         order = pending.order
-        room_begun_s = self._room_begun_s.pop(order.instance, None)
+        unload_sent_s = self._unload_sent_s.pop(order.instance, None)
         self._accepted.append(
             LoadTrace(
                 order.instance,
                 order.model,
                 order.adapter,
                 intent.urgent,
-                missed_s,
-                intent.since_s,
-                room_begun_s,
+                first_miss_s,
+                intent.planned_s,
+                unload_sent_s,
                 pending.sent_s,
                 pending.accepted_s,
                 pending.expected_done_s,
@@ -79,7 +79,7 @@
         )
 
     def take(self) -> list[LoadTrace]:
-        """The loads that were accepted since the last call."""
+        """Returns the traces of the loads that were accepted since the last call."""
         taken = list(self._accepted)
         self._accepted.clear()
         return taken
--- a/arrowfold/placement/options.py
+++ b/arrowfold/placement/options.py
@@ -1,7 +1,6 @@
-"""What may be set of the placement. The defaults are the project's; none is of one deployment.
+"""Options of model placement. The defaults are not specific to a deployment.
 
-Worth is counted in answers in time: an answer that is in time earns 1. Where a comment names no source, the
-default was chosen by the trials in docs/placement.md.
+The unit of value is one answer within its deadline. docs/placement.md describes the defaults.
 """
 
 from __future__ import annotations
@@ -11,90 +10,90 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandOptions:
-    """How demand is averaged."""
+    """Estimation of demand."""
 
-    fast_s: float = 1.0  # time constant of the average that sees a rise
-    slow_s: float = 5.0  # time constant of the average that bridges gaps
-    rare_s: float = 20.0  # time constant of the average by which rare models are kept
-    noise_deviations: float = 1.5  # of chance, that a rise of the fast average has to exceed; 0: none
-    urgency: bool = True  # what urgent routes miss is loaded first, by the ranks of all that ask
-    missing_valid_s: float = 4.0  # a request that missed its model waits, or comes back, for this long
-    heard_again_s: float = 2.0  # who waits for a class says so this often at least
+    fast_s: float = 1.0  # time constant of the average that follows a rise
+    slow_s: float = 5.0  # time constant of the average that bridges gaps between requests
+    rare_s: float = 20.0  # time constant of the average that retains rarely requested models
+    noise_deviations: float = 1.5  # standard deviations by which the fast average is reduced; 0: none
+    urgency: bool = True  # order missing models by the priority ranks of the routes that request them
+    missing_valid_s: float = 4.0  # how long a request that missed its model waits or is retried
+    heard_again_s: float = 2.0  # maximum time between two reports of a request that waits for a class
 
 
 @dataclass(frozen=True, slots=True)
 class ValuationOptions:
-    """What copies are worth, in worth a second."""
+    """Value of copies, in value per second unless a comment names another unit."""
 
-    miss_cost: float = 1.0  # worth lost by a request that has to wait for a load, with the load's own price
-    queue_cost: float = 0.06  # worth a second that one request running beside another costs
-    spare_copy_worth: float = 0.05  # of a second copy, for each request a second: the holder may fail
-    spare_copy_rate_s: float = 2.0  # requests a second beyond which the second copy gains no more by this
-    adapter_miss_cost: float = 0.1  # worth lost by a request that has to wait for an adapter
-    loss_by_load: bool = True  # a copy's loss is counted as its gain is: by the loads of all its holders
-    running_cost: float = 1.0  # for each request that runs on what is unloaded: the unload waits for it
+    miss_cost: float = 1.0  # value lost by a request that waits for a load, including the cost of the load
+    queue_cost: float = 0.06  # value per second lost by one request that runs concurrently with another
+    spare_copy_worth: float = 0.05  # of a second copy per request rate, since the holder may fail
+    spare_copy_rate_s: float = 2.0  # request rate per second above which `spare_copy_worth` adds no more
+    adapter_miss_cost: float = 0.1  # value lost by a request that waits for an adapter
+    loss_by_load: bool = True  # compute the loss of a copy, like its gain, from the loads of all holders
+    running_cost: float = 1.0  # per request that runs on an unloaded model: the unload waits for it
 
 
 @dataclass(frozen=True, slots=True)
 class EvictionOptions:
-    """What may not be unloaded yet."""
+    """Protection of models and adapters from eviction."""
 
-    residence_s: float = 3.0  # a model that was just loaded is not unloaded for this long
-    recent_s: float = 2.0  # the last copy of a model that was asked for this lately stays
-    adapter_recent_s: float = 0.5  # the same for an adapter
+    residence_s: float = 3.0  # minimum time that a loaded model stays
+    recent_s: float = 2.0  # the last copy of a model requested within this time stays
+    adapter_recent_s: float = 0.5  # an adapter requested within this time stays
 
 
 @dataclass(frozen=True, slots=True)
 class PlannerOptions:
-    """Which loads are worth it, and where."""
-
-    load_price: float = 0.45  # worth: a load of weights with its two orders
-    payback_s: float = 6.0  # a further copy has to earn its price within this time
-    further_copies: bool = True  # copies beyond the first, for load and for the holder's failure
-    copies_wait: bool = True  # while models are missed, only pressing copies are begun beside them
-    pressing_copies: bool = True  # those that gain most go before models that one request misses
-    pressing_gain: float = 0.3  # worth a second from which a further copy is pressing
-    gain_ratio: float = 1.5  # how many times its loss a move has to gain
-    worker_load_cost: float = 0.01  # worth a second for each request that runs on the chosen worker
-    store_cost: float = 0.05  # worth a second for a worker that has to read the weights from the store
-    same_zone_cost: float = 0.01  # worth a second for a zone that has a holder already
-    adapter_miss_share: float = 0.3  # of the requests for adapters, taken to need a load
-    adapter_copies: bool = True  # copies of adapters beyond the first
-    adapter_count_cost: float = 0.02  # worth a second for each adapter of the model there already
-    adapter_workload: float = 2.0  # requests running at a time that one further copy of an adapter serves
-    spare_adapter_rate_s: float = 0.1  # requests a second from which an adapter has a second copy
-    least_spread: int = 2  # further copies that may be on their way beside urgent loads
-    intent_valid_s: float = 12.0  # after which a load that was decided on and not begun is dropped
-    spread_interval_s: float = 0.1  # between two looks at whether further copies pay
+    """Choice of loads and of their workers."""
+
+    load_price: float = 0.45  # value that a load of weights costs, with its two orders
+    payback_s: float = 6.0  # time within which an additional copy has to gain its load price
+    further_copies: bool = True  # load more than one copy, for load and for failures of holders
+    copies_wait: bool = True  # while requests miss models, start no additional copies but pressing ones
+    pressing_copies: bool = True  # load copies with the largest gain before missing models
+    pressing_gain: float = 0.3  # value per second from which an additional copy is pressing
+    gain_ratio: float = 1.5  # minimum ratio of the gain of a copy to the loss by evictions for it
+    worker_load_cost: float = 0.01  # value per second for each request that runs on the chosen worker
+    store_cost: float = 0.05  # value per second for a worker that has to read from the weight store
+    same_zone_cost: float = 0.01  # value per second for a zone that already has a holder
+    adapter_miss_share: float = 0.3  # share of the requests for adapters that is assumed to need a load
+    adapter_copies: bool = True  # load more than one copy of an adapter
+    adapter_count_cost: float = 0.02  # value per second for each adapter of the model on the worker
+    adapter_workload: float = 2.0  # running requests for each additional copy of an adapter
+    spare_adapter_rate_s: float = 0.1  # request rate per second from which an adapter has two copies
+    least_spread: int = 2  # minimum limit of additional copies under way beside urgent loads
+    intent_valid_s: float = 12.0  # lifetime of a planned load that was not accepted
+    spread_interval_s: float = 0.1  # interval at which additional copies are planned
 
 
 @dataclass(frozen=True, slots=True)
 class RoomOptions:
-    """How many workers are emptied for loads at a time."""
+    """Number of workers that are emptied for loads at a time, and the reserve of memory headroom."""
 
-    least_rooms: int = 2  # workers that may be emptied at a time, however few there are
-    workers_a_room: int = 3  # of more workers, one in so many
-    copies_share: float = 0.5  # of these, for further copies while a request misses its model; 1: all
-    trust_expected_end: bool = True  # a load that should have ended frees its worker and the store at once
-    own_disk_uncounted: bool = True  # a load of what the worker held in this life is none of the store's
-    kept_ahead_s: float = 0.5  # rooms for the loads of so long are kept free before a request waits; 0: none
-    room_worth: float = 0.25  # worth that a free room saves of one missed request
-    idle_workload: float = 0.2  # an unload counts as done at once while fewer requests run on the model
+    least_rooms: int = 2  # workers that may be emptied at a time in a small service
+    workers_a_room: int = 3  # in a larger service one worker in so many may be emptied at a time
+    copies_share: float = 0.5  # share of these for additional copies while requests miss models; 1: all
+    trust_expected_end: bool = True  # treat a load as done at its expected end, before a report confirms it
+    own_disk_uncounted: bool = True  # the rate limit ignores loads of models the instance has held
+    kept_ahead_s: float = 0.5  # headroom is reserved for the loads expected within this time; 0: none
+    room_worth: float = 0.25  # value that headroom saves for one missed request
+    idle_workload: float = 0.2  # below this number of running requests an unload is assumed to need no wait
 
 
 @dataclass(frozen=True, slots=True)
 class FailureOptions:
-    """When edges' reports of failures count against a worker."""
+    """Conditions under which failure reports of edge nodes mark a worker as failing."""
 
-    shared: bool = True  # what some edges find failing is told to all, and counts as no copy
-    edges: int = 2  # edges that have to tell of failures
-    window_s: float = 2.0  # within so long
-    hold_s: float = 2.0  # for which it counts after the last report
+    shared: bool = True  # tell all edge nodes about failing workers, and ignore the copies there
+    edges: int = 2  # edge nodes that have to report failures
+    window_s: float = 2.0  # time within which these reports have to arrive
+    hold_s: float = 2.0  # how long the worker stays marked after the last report
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementOptions:
-    """All options of the placement (docs/placement.md)."""
+    """All options of model placement (docs/placement.md)."""
 
     demand: DemandOptions = field(default_factory=DemandOptions)
     valuation: ValuationOptions = field(default_factory=ValuationOptions)
--- a/arrowfold/placement/orders.py
+++ b/arrowfold/placement/orders.py
@@ -1,4 +1,4 @@
-"""Orders to workers, their answers, and the reports of workers, as typed values."""
+"""Orders to workers, their answers, worker reports and the actions of a placement owner."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Operation(Enum):
-    """What an order asks a worker to do."""
+    """Operation of an order."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order to one worker; it is carried out only while the worker has taken `if_revision` orders."""
+    """One order to one worker; the worker accepts it only if it has accepted `if_revision` orders before."""
 
     instance: str
     address: str
@@ -28,30 +28,30 @@
 
     @property
     def loads_weights(self) -> bool:
-        """True for the load of a model, which may read from the weight store."""
+        """True for the load of a model, which can read from the weight store."""
         return self.operation is Operation.LOAD and not self.adapter
 
 
 class OrderAnswer(Enum):
-    """What became of an order, as far as its sender knows."""
+    """Outcome of an order, as far as its sender knows."""
 
-    ACCEPTED = "accepted"  # 202: it is being carried out
-    ALREADY = "already"  # 200: the worker is in that state
-    CONFLICT = "conflict"  # 409: another order is under way, or the revision differs
+    ACCEPTED = "accepted"  # 202: the worker carries it out
+    ALREADY = "already"  # 200: the worker is in that state already
+    CONFLICT = "conflict"  # 409: another order is in progress, or the revision differs
     FENCED = "fenced"  # 412: the worker has seen a higher fencing token
     MISDIRECTED = "misdirected"  # 421: another worker has this address now
-    REFUSED = "refused"  # any other answer: not taken
-    UNSENT = "unsent"  # no connection, or the lease ended before it was sent: not taken
-    UNANSWERED = "unanswered"  # sent, but nothing came back: it may have been taken
+    REFUSED = "refused"  # any other answer: not accepted
+    UNSENT = "unsent"  # no connection, or the lease ended before it was sent: not accepted
+    UNANSWERED = "unanswered"  # sent, but not answered: it may have been accepted
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """The answer to GET /report: the state of a worker some hundred milliseconds ago."""
+    """Answer to GET /report: the state of a worker some hundred milliseconds ago."""
 
     models: tuple[HeldModel, ...]
-    busy: bool  # an order is under way
-    revision: int  # orders taken since the worker started
+    busy: bool  # an order is in progress
+    revision: int  # orders accepted since the worker started
     queued: int = 0
     active: int = 0
     kv_used: int = 0
@@ -60,14 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Asks the executor to send an order, if the lease of the role is valid at that moment."""
+    """Action: send an order, if the lease of the role is valid at that time."""
 
     order: Order
 
 
 @dataclass(frozen=True, slots=True)
 class ReadReport:
-    """Asks the executor to read the report of a worker."""
+    """Action: read the report of a worker."""
 
     instance: str
     address: str
--- a/arrowfold/placement/placer.py
+++ b/arrowfold/placement/placer.py
@@ -1,8 +1,8 @@
-"""The owner of one service's placement: takes demand, workers, answers and reports; gives orders.
+"""The placement owner of one service: takes demand, workers, answers and reports, and issues orders.
 
-Made anew whenever the role is taken over; what the predecessor ordered is read from the workers'
-reports. All calls are short and do no I/O. The caller sends an order only while the role's lease is
-valid, and answers every action.
+A new instance is created whenever the role is taken over; the orders of the previous owner are read from
+the workers' reports. All calls are short and do no I/O. The caller sends an order only while the role's
+lease is valid, and reports the outcome of every action.
 """
 
 from __future__ import annotations
@@ -33,24 +33,27 @@
 from arrowfold.placement.planner import PlacementPlanner, PlannedOrder
 from arrowfold.placement.worker_state import OrderPhase, PendingOrder, WorkerState
 
-REPORT_LAG_S = 0.2  # a report shows a state that is some hundred milliseconds old
-LONGEST_REPORT_LAG_S = 0.3  # a report that is read so long after an expected end should show it
-REPORT_AGAIN_S = 0.15
-UNANSWERED_REPORT_S = 0.8  # by then an order without an answer has arrived or never will
-FAILURE_PAUSE_S = 0.25
-LONGEST_PAUSE_S = 2.0
-IDLE_WAKEUP_S = 0.25
-REPLACED_SHARE = 0.5  # of the time for which a failing worker is avoided: a load has to end within it
+REPORT_LAG_S = 0.2  # delay before a report is read: it shows a state some hundred milliseconds old
+MAX_REPORT_LAG_S = 0.3  # a report read this long after the expected end of a load should show that end
+REPORT_RETRY_S = 0.15
+UNANSWERED_ORDER_REPORT_DELAY_S = 0.8  # by then an unanswered order has arrived or never will
+BACKOFF_BASE_S = 0.25
+MAX_BACKOFF_S = 2.0
+MAX_WAKEUP_INTERVAL_S = 0.25
+REPLACEMENT_LOAD_SHARE = 0.5  # a replacement load has to end within this share of `hold_s`
 
 
 class ServicePlacer:
-    """Keeps the models and adapters of one service where demand asks for them."""
+    """Places the models and adapters of one service on its workers according to demand.
+
+    After the answer `FENCED`, `fenced` is True and no more actions are returned.
+    """
 
     def __init__(
         self, catalogue: ModelCatalogue, ceiling: LoadCeiling, options: PlacementOptions | None = None
     ) -> None:
         options = options or PlacementOptions()
-        self._options = options.rooms
+        self._room_options = options.rooms
         self._failure_options = options.failures
         self._failures = FailureReports(options.failures)
         self._catalogue = catalogue
@@ -61,52 +64,59 @@
         self._times = LoadTimes()
         self._traces = LoadTraces()
         self._records: dict[str, WorkerRecord] = {}
-        self.fenced = False  # a worker has seen a higher token: no more orders
+        self.fenced = False  # a worker has seen a higher fencing token: no more orders
 
     def apply_catalogue(self, catalogue: ModelCatalogue) -> None:
-        """Take a changed configuration."""
+        """Applies a changed configuration."""
         self._catalogue = catalogue
 
     def apply_workers(self, records: Iterable[WorkerRecord], now_s: float) -> None:
-        """Take the known workers; those of other services are left out."""
+        """Applies the list of all known workers; those of other services are ignored."""
         own = [record for record in records if record.service == self._catalogue.service]
         self._records = {record.instance: record for record in own}
         self._fleet.apply(own, now_s)
-        self._failures.forget_all_but(self._records)
-        self._review_troubled(now_s)
+        self._failures.retain_only(self._records)
+        self._update_failing_workers(now_s)
+
+    def _update_failing_workers(self, now_s: float) -> None:
+        """Updates which workers are failing, and whether their copies are ignored.
 
-    def _review_troubled(self, now_s: float) -> None:
-        """What a failing worker holds counts as no copy, where a load would end before it is tried again."""
+        Copies on a failing worker are ignored if a replacement load would end before the worker is retried.
+        """
         longest_s = max((spec.load_time_s for spec in self._catalogue.models.values()), default=0.0)
-        is_replaced = longest_s <= REPLACED_SHARE * self._failure_options.hold_s
+        has_ignored_copies = longest_s <= REPLACEMENT_LOAD_SHARE * self._failure_options.hold_s
         for instance, worker in self._fleet.workers.items():
-            worker.is_troubled = self._failures.is_troubled(instance, now_s)
-            worker.is_replaced = worker.is_troubled and is_replaced
+            worker.is_failing = self._failures.is_failing(instance, now_s)
+            worker.has_ignored_copies = worker.is_failing and has_ignored_copies
 
     def apply_demand(self, report: DemandReport, now_s: float) -> None:
-        """Take what an edge saw."""
-        own = [seen for seen in report.classes if seen.service == self._catalogue.service]
+        """Applies the demand report of an edge node."""
+        own = [demand for demand in report.classes if demand.service == self._catalogue.service]
         self._demand.add(own, now_s)
         if self._failure_options.shared:
-            self._failures.note(report.sender.member, report.failing, now_s)
+            self._failures.record(report.sender.member, report.failing, now_s)
 
     def actions(self, now_s: float, may_order: bool = True) -> list[Action]:
-        """What to send now; every order and report given here is answered by a later call."""
+        """Returns the orders to send and the reports to read now.
+
+        The outcome of each must be passed to `order_answered` or `report_answered` later. With `may_order`
+        False only reports are read.
+        """
         if self.fenced:
             return []
-        self._finish_short_orders(now_s)
+        self._complete_due_orders(now_s)
         orders = self._orders(now_s) if may_order else []
-        return orders + self._reports(now_s)
+        return orders + self._due_report_reads(now_s)
 
     def _orders(self, now_s: float) -> list[Action]:
         orders: list[Action] = []
         for planned in self._planner.plan(self._catalogue, now_s):
-            if self._may_send(planned, now_s):
+            if self._can_send(planned, now_s):
                 orders.append(self._send(planned, now_s))
         return orders
 
     def corrections(self, now_s: float) -> tuple[WorkerCorrection, ...]:
-        """What the last heartbeats don't tell: what stands ready, leaves and arrives."""
+        """Returns corrections of the workers' last heartbeats: ready models, loads in progress, failures."""
         found = []
         for instance, record in self._records.items():
             worker = self._fleet.workers.get(instance)
@@ -118,77 +128,89 @@
         return tuple(found)
 
     def next_wakeup_s(self, now_s: float) -> float:
-        """When `actions` should be asked again at the latest."""
-        times = [now_s + IDLE_WAKEUP_S]
+        """Returns the time by which `actions` has to be called again."""
+        times = [now_s + MAX_WAKEUP_INTERVAL_S]
         for worker in self._fleet.workers.values():
-            if worker.serves:
+            if worker.counts_as_holder:
                 times.append(worker.report_due_s)
-            if worker.pending is not None and not worker.pending.presumed_done:
+            if worker.pending is not None and not worker.pending.is_presumed_done:
                 times.append(worker.pending.expected_done_s)
         return max(now_s, min(times))
 
     def order_answered(self, order: Order, answer: OrderAnswer, now_s: float) -> None:
-        """Take the outcome of an order."""
+        """Applies the outcome of an order."""
         worker = self._fleet.workers.get(order.instance)
         if answer is OrderAnswer.FENCED:
             self.fenced = True
         if worker is None or worker.pending is None or worker.pending.order != order:
             return
         if answer is OrderAnswer.ACCEPTED:
-            self._accepted(worker, worker.pending, now_s)
+            self._handle_accepted(worker, worker.pending, now_s)
         elif answer is OrderAnswer.ALREADY:
-            worker.apply_done(now_s)
+            worker.apply_completed_order(now_s)
             worker.report_due_s = now_s + REPORT_LAG_S
         elif answer is OrderAnswer.UNANSWERED:
             worker.pending.phase = OrderPhase.UNANSWERED
-            worker.report_due_s = now_s + UNANSWERED_REPORT_S
+            worker.report_due_s = now_s + UNANSWERED_ORDER_REPORT_DELAY_S
         else:
-            self._not_taken(worker, answer, now_s)
+            self._handle_not_accepted(worker, answer, now_s)
 
     def report_answered(self, instance: str, report: WorkerReport | None, now_s: float) -> None:
-        """Take a report; None if it could not be read."""
+        """Applies a report; None if it could not be read."""
         worker = self._fleet.workers.get(instance)
         if worker is None:
             return
-        worker.report_under_way = False
+        worker.is_reading_report = False
         if report is None:
             worker.failures += 1
-            worker.report_due_s = now_s + min(LONGEST_PAUSE_S, FAILURE_PAUSE_S * 2.0**worker.failures)
+            worker.report_due_s = now_s + min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2.0**worker.failures)
             return
         worker.failures = 0
         self._apply_report(worker, report, now_s)
 
-    def _may_send(self, planned: PlannedOrder, now_s: float) -> bool:
-        """Loads of weights, and the unloads that make room for them, wait for the ceiling and the store."""
+    def _can_send(self, planned: PlannedOrder, now_s: float) -> bool:
+        """Returns False if the order has to wait for the load rate limit or the weight store.
+
+        This concerns loads of weights and the unloads that precede them, not adapters.
+        """
         intent = self._planner.intents.get(planned.instance)
         if intent is None or intent.target.adapter:
             return True
-        makes_room = planned.operation is Operation.UNLOAD and not intent.begun
-        if makes_room and not self._may_make_room(planned.instance, intent, now_s):
+        is_first_unload = planned.operation is Operation.UNLOAD and not intent.has_sent_unload
+        if is_first_unload and not self._can_start_unload(planned.instance, intent, now_s):
             return False
         worker = self._fleet.workers[planned.instance]
-        if not makes_room and self._counts(worker, intent.target.model) and not self._ceiling.allows(now_s):
+        if (
+            not is_first_unload
+            and self._counts_against_limit(worker, intent.target.model)
+            and not self._ceiling.allows(now_s)
+        ):
             return False
         if self._fleet.is_on_disk(worker, intent.target.model):
             return True
         return self._store_loads() < self._catalogue.parallel_loads
 
-    def _may_make_room(self, instance: str, intent: LoadIntent, now_s: float) -> bool:
-        """Whether one more worker may be emptied for a load: it takes no other order until its runs end.
+    def _can_start_unload(self, instance: str, intent: LoadIntent, now_s: float) -> bool:
+        """Returns True if one more worker may be emptied for a load.
 
-        While requests wait for models that stand nowhere, further copies get a part of these rooms only.
+        A worker that unloads takes no other order until its running requests end, so the number is limited.
+        While requests wait for models that are loaded nowhere, additional copies may use only a part of it.
         """
         intents = self._planner.intents
-        begun = intents.begun(beside=instance)
-        most = max(self._options.least_rooms, len(self._fleet.workers) // self._options.workers_a_room)
-        if not intent.urgent and intents.has_waiting_urgent():
-            most_copies = max(1, int(most * self._options.copies_share))
-            if intents.begun_copies(beside=instance) >= most_copies:
+        emptying = intents.count_emptying(excluding=instance)
+        max_emptying = max(
+            self._room_options.least_rooms, len(self._fleet.workers) // self._room_options.workers_a_room
+        )
+        if not intent.urgent and intents.has_unstarted_urgent():
+            max_emptying_for_copies = max(1, int(max_emptying * self._room_options.copies_share))
+            if intents.count_emptying_for_copies(excluding=instance) >= max_emptying_for_copies:
                 return False
-        if begun >= most:
+        if emptying >= max_emptying:
             return False
         worker = self._fleet.workers[instance]
-        return not self._counts(worker, intent.target.model) or self._ceiling.allows_soon(now_s, begun)
+        return not self._counts_against_limit(worker, intent.target.model) or self._ceiling.allows_soon(
+            now_s, emptying
+        )
 
     def _send(self, planned: PlannedOrder, now_s: float) -> SendOrder:
         worker = self._fleet.workers[planned.instance]
@@ -200,29 +222,29 @@
         worker.pending = PendingOrder(order, now_s)
         if order.loads_weights:
             worker.pending.from_own_disk = self._fleet.is_on_disk(worker, target.model)
-            worker.pending.counted = self._counts(worker, target.model)
-            if worker.pending.counted:
-                self._ceiling.sent(now_s)
+            worker.pending.is_rate_limited = self._counts_against_limit(worker, target.model)
+            if worker.pending.is_rate_limited:
+                self._ceiling.consume(now_s)
             self._note_load(worker.instance, now_s)
         elif order.operation is Operation.UNLOAD:
             self._planner.intents.note_unload(worker.instance)
             if worker.instance in self._planner.intents:
-                self._traces.room_begun(worker.instance, now_s)
+                self._traces.note_unload_sent(worker.instance, now_s)
         return SendOrder(order)
 
-    def _counts(self, worker: WorkerState, model: str) -> bool:
-        """Whether a load of this model may be one of the weight store's."""
-        return not (self._options.own_disk_uncounted and self._fleet.has_held(worker, model))
+    def _counts_against_limit(self, worker: WorkerState, model: str) -> bool:
+        """Returns True if a load of this model may read from the weight store."""
+        return not (self._room_options.own_disk_uncounted and self._fleet.is_confirmed(worker, model))
 
     def _note_load(self, instance: str, now_s: float) -> None:
         intent = self._planner.intents.get(instance)
         if intent is not None and intent.urgent:
             self._planner.reserve.note_urgent_load(now_s)
 
-    def _accepted(self, worker: WorkerState, pending: PendingOrder, now_s: float) -> None:
+    def _handle_accepted(self, worker: WorkerState, pending: PendingOrder, now_s: float) -> None:
         order = pending.order
         worker.failures = 0
-        worker.confirming = None  # it takes one order at a time: what went before is done
+        worker.unconfirmed_load = None  # a worker takes one order at a time, so the previous load is done
         worker.revision = order.if_revision + 1
         self._note_unload_time(worker, in_time=True)
         intent = self._planner.intents.get(worker.instance)
@@ -240,10 +262,10 @@
             worker.report_due_s = now_s + REPORT_LAG_S
         if order.operation is Operation.LOAD and intent is not None:
             missed = self._demand.of_class(ModelClass(order.model, order.adapter))
-            self._traces.accepted(pending, intent, missed.missed_since_s)
+            self._traces.note_accepted(pending, intent, missed.first_miss_s)
 
     def take_load_traces(self) -> list[LoadTrace]:
-        """The loads that were accepted since the last call, step by step."""
+        """Returns traces of the loads that were accepted since the last call."""
         return self._traces.take()
 
     def _expect_load(self, worker: WorkerState, pending: PendingOrder, now_s: float) -> None:
@@ -257,105 +279,107 @@
         pending.expected_done_s = now_s + expected_s
         worker.report_due_s = now_s + expected_s + REPORT_LAG_S / 2
 
-    def _not_taken(self, worker: WorkerState, answer: OrderAnswer, now_s: float) -> None:
-        if worker.pending is not None and worker.pending.counted:
-            self._ceiling.not_taken()
+    def _handle_not_accepted(self, worker: WorkerState, answer: OrderAnswer, now_s: float) -> None:
+        if worker.pending is not None and worker.pending.is_rate_limited:
+            self._ceiling.refund()
         worker.pending = None
-        worker.confirming = None
+        worker.unconfirmed_load = None
         worker.report_due_s = now_s + REPORT_LAG_S
         if answer is OrderAnswer.CONFLICT:
             self._note_unload_time(worker, in_time=False)
         elif answer is OrderAnswer.REFUSED:
             self._planner.intents.drop(worker.instance)
         if answer is OrderAnswer.MISDIRECTED:
-            worker.unusable = True
+            worker.is_unusable = True
         elif answer is OrderAnswer.UNSENT:
             worker.failures += 1
-            worker.report_due_s = now_s + min(LONGEST_PAUSE_S, FAILURE_PAUSE_S * 2.0**worker.failures)
+            worker.report_due_s = now_s + min(MAX_BACKOFF_S, BACKOFF_BASE_S * 2.0**worker.failures)
 
     def _note_unload_time(self, worker: WorkerState, in_time: bool) -> None:
-        """An order after an unload that was taken to be done tells whether it was."""
-        if worker.unload_unproven:
-            worker.unload_unproven = False
-            self._times.unload_seen(in_time)
+        """Updates the expected unload time: the next order shows whether the unload had ended in time."""
+        if worker.has_unconfirmed_unload:
+            worker.has_unconfirmed_unload = False
+            self._times.record_unload(in_time)
 
-    def _finish_short_orders(self, now_s: float) -> None:
-        """Orders count as done after their time; loads of weights until a report tells otherwise."""
+    def _complete_due_orders(self, now_s: float) -> None:
+        """Treats accepted orders as done at their expected end; reports later confirm or revert loads."""
         for worker in self._fleet.workers.values():
             pending = worker.pending
             if pending is None or pending.phase is not OrderPhase.RUNNING:
                 continue
             if now_s < pending.expected_done_s:
                 continue
-            if not worker.report_wanted:
-                self._done(worker, now_s)
-            elif pending.order.loads_weights and self._options.trust_expected_end:
-                self._done(worker, now_s)
-                worker.confirming = pending
+            if not worker.needs_report:
+                self._complete_order(worker, now_s)
+            elif pending.order.loads_weights and self._room_options.trust_expected_end:
+                self._complete_order(worker, now_s)
+                worker.unconfirmed_load = pending
             elif pending.order.loads_weights:
-                pending.presumed_done = True
+                pending.is_presumed_done = True
 
-    def _done(self, worker: WorkerState, now_s: float) -> None:
+    def _complete_order(self, worker: WorkerState, now_s: float) -> None:
         pending = worker.pending
-        worker.unload_unproven = pending is not None and pending.order.operation is Operation.UNLOAD
-        worker.apply_done(now_s)
-        self._fleet.remember(worker)
+        worker.has_unconfirmed_unload = pending is not None and pending.order.operation is Operation.UNLOAD
+        worker.apply_completed_order(now_s)
+        self._fleet.note_on_disk(worker)
         if pending is not None and pending.order.operation is Operation.LOAD:
-            self._demand.served(ModelClass(pending.order.model, pending.order.adapter))
+            self._demand.clear_misses(ModelClass(pending.order.model, pending.order.adapter))
 
     def _apply_report(self, worker: WorkerState, report: WorkerReport, now_s: float) -> None:
         pending = worker.pending
         worker.report_due_s = math.inf
         if worker.revision is not None and report.revision < worker.revision:
-            worker.report_due_s = now_s + REPORT_AGAIN_S  # older than our last order
+            worker.report_due_s = now_s + REPORT_RETRY_S  # older than our last order
             return
         worker.revision = report.revision
         if report.busy:
-            worker.report_due_s = now_s + REPORT_AGAIN_S
-            self._not_done_yet(pending, now_s)
-            self._take_back(worker, now_s)
+            worker.report_due_s = now_s + REPORT_RETRY_S
+            self._withdraw_presumed_done(pending, now_s)
+            self._revert_unconfirmed_load(worker, now_s)
             return
         if pending is not None and pending.phase is OrderPhase.SENT:
-            worker.report_due_s = now_s + REPORT_AGAIN_S  # its answer is still on the way
+            worker.report_due_s = now_s + REPORT_RETRY_S  # its answer is still in flight
             return
-        load = pending or worker.confirming
+        load = pending or worker.unconfirmed_load
         worker.apply_report(report, now_s)
-        self._fleet.remember(worker)
-        self._fleet.confirm(worker)
-        self._measure(load, worker, now_s)
+        self._fleet.note_on_disk(worker)
+        self._fleet.note_confirmed(worker)
+        self._record_load_time(load, worker, now_s)
 
-    def _not_done_yet(self, pending: PendingOrder | None, now_s: float) -> None:
-        if pending is None or not pending.presumed_done:
+    def _withdraw_presumed_done(self, pending: PendingOrder | None, now_s: float) -> None:
+        if pending is None or not pending.is_presumed_done:
             return
-        if now_s - pending.expected_done_s > LONGEST_REPORT_LAG_S:
-            pending.presumed_done = False
-            pending.expected_done_s = now_s + REPORT_AGAIN_S
+        if now_s - pending.expected_done_s > MAX_REPORT_LAG_S:
+            pending.is_presumed_done = False
+            pending.expected_done_s = now_s + REPORT_RETRY_S
 
-    def _take_back(self, worker: WorkerState, now_s: float) -> None:
-        """A load that was taken to be done still runs, by a report that is young enough to tell."""
-        load = worker.confirming
+    def _revert_unconfirmed_load(self, worker: WorkerState, now_s: float) -> None:
+        """Makes a load pending again that was treated as done, if a recent enough report shows it running."""
+        load = worker.unconfirmed_load
         if load is None or worker.pending is not None:
             return
-        if now_s - load.expected_done_s > LONGEST_REPORT_LAG_S:
-            worker.confirming = None
+        if now_s - load.expected_done_s > MAX_REPORT_LAG_S:
+            worker.unconfirmed_load = None
             worker.holdings.pop(load.order.model, None)
             worker.pending = load
-            load.expected_done_s = math.inf  # only a report tells now
+            load.expected_done_s = math.inf  # its end is known only from a report
 
-    def _measure(self, pending: PendingOrder | None, worker: WorkerState, now_s: float) -> None:
+    def _record_load_time(self, pending: PendingOrder | None, worker: WorkerState, now_s: float) -> None:
         if pending is None or not pending.order.loads_weights or pending.phase is not OrderPhase.RUNNING:
             return
         spec = self._catalogue.models.get(pending.order.model)
         if spec is not None and pending.order.model in worker.holdings:
-            self._times.measured(spec, pending.from_own_disk, now_s - pending.accepted_s - REPORT_LAG_S / 2)
-            self._demand.served(ModelClass(pending.order.model))
+            self._times.record_load(
+                spec, pending.from_own_disk, now_s - pending.accepted_s - REPORT_LAG_S / 2
+            )
+            self._demand.clear_misses(ModelClass(pending.order.model))
 
-    def _reports(self, now_s: float) -> list[Action]:
+    def _due_report_reads(self, now_s: float) -> list[Action]:
         reads: list[Action] = []
         for worker in self._fleet.workers.values():
-            if worker.report_under_way or worker.report_due_s > now_s or not worker.serves:
+            if worker.is_reading_report or worker.report_due_s > now_s or not worker.counts_as_holder:
                 continue
-            worker.report_under_way = True
+            worker.is_reading_report = True
             worker.report_due_s = math.inf
             reads.append(ReadReport(worker.instance, worker.address))
         return reads
@@ -370,4 +394,4 @@
         )
 
     def _is_idle(self, model: str, now_s: float) -> bool:
-        return self._demand.model(model).workload(now_s) < self._options.idle_workload
+        return self._demand.model(model).workload(now_s) < self._room_options.idle_workload
--- a/arrowfold/placement/room_reserve.py
+++ b/arrowfold/placement/room_reserve.py
@@ -1,4 +1,7 @@
-"""How many workers keep a free room, so that a load for a waiting request need not wait for an unload."""
+"""Reserve of memory headroom, so that a load for a waiting request need not wait for an unload.
+
+A worker has headroom if any model of the catalogue fits beside what it holds.
+"""
 
 from __future__ import annotations
 
@@ -12,81 +15,87 @@
 from arrowfold.placement.options import RoomOptions
 from arrowfold.placement.worker_state import WorkerState
 
-RATE_MEMORY_S = 5.0  # of the rate of loads for waiting requests
-USUAL_LOAD_S = 0.6  # of longer loads an unload before them is a smaller part, in proportion
-WORKERS_A_RESERVE = 4  # one worker in so many keeps a room at most
+RATE_TIME_CONSTANT_S = 5.0  # of the average rate of loads for waiting requests
+REFERENCE_LOAD_S = 0.6  # an unload is a smaller part of longer loads: the value falls in proportion
+WORKERS_PER_RESERVE = 4  # at most one worker in so many is kept with headroom
 
 
-class RoomReserve:
-    """Decides on unloads ahead of loads, from the rate of the loads that requests waited for."""
+class HeadroomReserve:
+    """Plans unloads ahead of loads, from the rate of the loads that requests waited for."""
 
     def __init__(self, fleet: PlacementFleet, intents: LoadIntents, options: RoomOptions) -> None:
         self._fleet = fleet
         self._intents = intents
         self._options = options
-        self._loads = Average(RATE_MEMORY_S)
+        self._loads = Average(RATE_TIME_CONSTANT_S)
 
     def note_urgent_load(self, now_s: float) -> None:
-        """A load for a waiting request is being sent."""
+        """Records that a load for a waiting request is being sent."""
         self._loads.add(1.0, now_s)
 
-    def wanted(self, now_s: float) -> int:
-        """Free rooms that the loads of the time ahead need, with a deviation's reserve."""
+    def target_count(self, now_s: float) -> int:
+        """Returns how many workers should have headroom.
+
+        This is the number of urgent loads expected within `kept_ahead_s` plus one standard deviation.
+        """
         expected = self._loads.value(now_s) * self._options.kept_ahead_s
-        most = len(self._fleet.workers) // WORKERS_A_RESERVE
-        return min(most, math.ceil(expected + math.sqrt(expected) - 0.5)) if expected > 0 else 0
+        max_count = len(self._fleet.workers) // WORKERS_PER_RESERVE
+        return min(max_count, math.ceil(expected + math.sqrt(expected) - 0.5)) if expected > 0 else 0
 
     def next_unload(self, context: PlanningContext) -> tuple[str, Victim] | None:
-        """The worker and the model that make the next free room at the least loss; None if none is due."""
-        wanted = self.wanted(context.now_s)
-        if wanted == 0 or self._rooms(context.catalogue) >= wanted:
+        """Returns the worker and the model to unload for headroom at the least loss; None if none is due."""
+        target_count = self.target_count(context.now_s)
+        if target_count == 0 or self._count_with_headroom(context.catalogue) >= target_count:
             return None
-        saved = self._worth_of_room(context.catalogue)
-        most_loss = saved * self._loads.value(context.now_s) / wanted
+        saved = self._headroom_value(context.catalogue)
+        max_loss = saved * self._loads.value(context.now_s) / target_count
         found = [
             (victim.loss, instance, victim)
             for instance, worker in self._fleet.workers.items()
-            if (victim := self._victim(context, worker)) is not None and victim.loss <= most_loss
+            if (victim := self._headroom_victim(context, worker)) is not None and victim.loss <= max_loss
         ]
         if not found:
             return None
         _, instance, victim = min(found, key=lambda item: item[:2])
         return instance, victim
 
-    def price(self, context: PlanningContext, worker: WorkerState, urgent: bool) -> float:
-        """What a load costs that waits for a room, or that takes one which nobody waits for.
+    def opportunity_cost(self, context: PlanningContext, worker: WorkerState, urgent: bool) -> float:
+        """Returns the cost of a load that waits for headroom, or that uses it without a waiting request.
 
-        A waiting request pays for the unload before its load; anything else for making the room again.
+        An urgent load is charged for the unload that precedes it, any other load for restoring the headroom.
         """
-        if self.wanted(context.now_s) == 0:
+        if self.target_count(context.now_s) == 0:
             return 0.0
         if urgent:
-            return self._worth_of_room(context.catalogue)
+            return self._headroom_value(context.catalogue)
         cheapest = context.cheapest_model(worker)
         return 0.0 if cheapest is None else max(0.0, cheapest.loss)
 
-    def _worth_of_room(self, catalogue: ModelCatalogue) -> float:
-        """What a free room saves a missed request: the unload's part of the time until its model is there."""
+    def _headroom_value(self, catalogue: ModelCatalogue) -> float:
+        """Returns the value that headroom saves for a missed request.
+
+        It is the share of the unload in the time until the model is loaded.
+        """
         longest_s = max((spec.load_time_s for spec in catalogue.models.values()), default=0.0)
-        return self._options.room_worth * USUAL_LOAD_S / max(longest_s, USUAL_LOAD_S)
+        return self._options.room_worth * REFERENCE_LOAD_S / max(longest_s, REFERENCE_LOAD_S)
 
-    def _rooms(self, catalogue: ModelCatalogue) -> int:
-        """Workers with a free room, or where one is being made that nothing was planned for."""
+    def _count_with_headroom(self, catalogue: ModelCatalogue) -> int:
+        """Returns the number of workers without a planned load that have headroom or unload a model."""
         return sum(
             1
             for instance, worker in self._fleet.workers.items()
-            if worker.serves
+            if worker.counts_as_holder
             and instance not in self._intents
-            and (worker.leaving_model() is not None or worker.has_room(catalogue))
+            and (worker.unloading_model() is not None or worker.has_headroom(catalogue))
         )
 
-    def _victim(self, context: PlanningContext, worker: WorkerState) -> Victim | None:
-        """What would have to go for a free room here, if one unload makes it."""
-        if not worker.takes_orders or worker.instance in self._intents:
+    def _headroom_victim(self, context: PlanningContext, worker: WorkerState) -> Victim | None:
+        """Returns the model to unload for headroom here; None if headroom exists or takes more unloads."""
+        if not worker.can_take_order or worker.instance in self._intents:
             return None
-        if worker.has_room(context.catalogue):
+        if worker.has_headroom(context.catalogue):
             return None
         cheapest = context.cheapest_model(worker)
-        if cheapest is None or not worker.has_room(context.catalogue, without=cheapest.target.model):
+        if cheapest is None or not worker.has_headroom(context.catalogue, without=cheapest.target.model):
             return None
         return cheapest
--- a/tests/system/test_placement_policies.py
+++ b/tests/system/test_placement_policies.py
@@ -96,14 +96,14 @@
     for step in range(60):
         estimate.add([ClassDemand(SERVICE, "m0", "", 1.0, 0.5)], step * 0.5)
     model = estimate.model("m0")
-    steady = model.rate_s(30.0)
+    steady = model.rate_per_s(30.0)
     # When three requests come at once, as they do by chance, then its rate stays about what it was
     estimate.add([ClassDemand(SERVICE, "m0", "", 3.0, 1.5)], 30.0)
-    assert model.rate_s(30.0) < 1.5 * steady
+    assert model.rate_per_s(30.0) < 1.5 * steady
     # But when it is asked for ten times a second, it follows within a second
     for step in range(10):
         estimate.add([ClassDemand(SERVICE, "m0", "", 1.0, 0.5)], 30.1 + step * 0.1)
-    assert model.rate_s(31.0) > 2.0 * steady
+    assert model.rate_per_s(31.0) > 2.0 * steady
 
 
 def test_no_rooms_are_made_where_nothing_is_missed() -> None:
@@ -244,8 +244,8 @@
         world.hold(f"w{index}", *models)
     world.run(1.0)
     for _ in range(40):
-        for model, rate_s in asked.items():
-            world.ask(model, requests=rate_s * 0.5)
+        for model, rate_per_s in asked.items():
+            world.ask(model, requests=rate_per_s * 0.5)
         world.run(0.5, step_s=0.5)
     return world
 
--- a/tests/system/test_placement_properties.py
+++ b/tests/system/test_placement_properties.py
@@ -133,23 +133,23 @@
 class CeilingMachine(RuleBasedStateMachine):
     """Owners that load as fast as they may, one after the other; each order begins up to a second later."""
 
-    @initialize(rate_s=st.floats(0.2, 20.0), window_s=st.floats(1.0, 20.0), overage=st.floats(1.0, 1.5))
-    def start(self, rate_s: float, window_s: float, overage: float) -> None:
-        self.rate_s, self.window_s, self.overage = rate_s, window_s, overage
+    @initialize(rate_per_s=st.floats(0.2, 20.0), window_s=st.floats(1.0, 20.0), overage=st.floats(1.0, 1.5))
+    def start(self, rate_per_s: float, window_s: float, overage: float) -> None:
+        self.rate_per_s, self.window_s, self.overage = rate_per_s, window_s, overage
         self.now_s = 0.0
         self.begun: list[float] = []
         self.take_over()
 
     @rule()
     def take_over(self) -> None:
-        self.ceiling = LoadCeiling(self.rate_s, self.window_s, self.overage, self.now_s)
+        self.ceiling = LoadCeiling(self.rate_per_s, self.window_s, self.overage, self.now_s)
 
     @rule(duration_s=st.floats(0.0, 6.0), late_s=st.floats(0.0, 1.0))
     def load_all_the_time(self, duration_s: float, late_s: float) -> None:
         end_s = self.now_s + duration_s
         while self.now_s <= end_s:
             if self.ceiling.allows(self.now_s):
-                self.ceiling.sent(self.now_s)
+                self.ceiling.consume(self.now_s)
                 self.begun.append(self.now_s + late_s)
             self.now_s += 0.01
 
@@ -161,7 +161,7 @@
     def no_window_has_more_loads_than_allowed(self) -> None:
         if not hasattr(self, "begun"):
             return
-        limit = self.rate_s * self.window_s * self.overage + 3.0
+        limit = self.rate_per_s * self.window_s * self.overage + 3.0
         for start_s in self.begun:
             within = sum(1 for at_s in self.begun if start_s <= at_s <= start_s + self.window_s)
             assert within <= limit
