--- a/tests/system/test_placement_properties.py
+++ b/tests/system/test_placement_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the placement under any order of events: ceiling, capacity, one order at a time a worker."""
+"""Placement invariants under any order of events: load rate limit, capacity, one order per worker."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from arrowfold.placement.ceiling import LoadCeiling
 from arrowfold.placement.options import PlacementOptions, RoomOptions
-from tests.system.placement_world import OVERAGE, WINDOW_S, PlacementWorld, catalogue
+from tests.system.placement_world import OVERAGE, WINDOW_S, PlacementSimulation, catalogue
 
 MODELS = 14
 WORKERS = 4
@@ -18,7 +18,7 @@
 
 
 class PlacementMachine(RuleBasedStateMachine):
-    """Demand, lost answers, unreachable and restarting workers, foreign orders, and changes of the owner."""
+    """Demand, lost answers, failing, unreachable and restarting workers, and changes of the owner."""
 
     @initialize(
         load_time_s=st.sampled_from([0.2, 0.6, 3.0]),
@@ -34,91 +34,95 @@
             own_disk_uncounted=st.booleans(),
             idle_workload=st.sampled_from([0.0, 0.2, 100.0]),
         ),
-        load_slowness=st.sampled_from([1.0, 2.5]),
+        load_time_factor=st.sampled_from([1.0, 2.5]),
     )
-    def start(self, load_time_s: float, load_rate_s: float, rooms: RoomOptions, load_slowness: float) -> None:
-        self.world = PlacementWorld(
+    def start(
+        self, load_time_s: float, load_rate_s: float, rooms: RoomOptions, load_time_factor: float
+    ) -> None:
+        self.simulation = PlacementSimulation(
             catalogue(MODELS, load_time_s=load_time_s, load_rate_s=load_rate_s),
             WORKERS,
             PlacementOptions(rooms=rooms),
-            load_slowness,
+            load_time_factor,
         )
-        self.world.hold("w0", "m0", "m1", "m2")
-        self.world.hold("w1", "m0", "m3")
+        self.simulation.set_holdings("w0", "m0", "m1", "m2")
+        self.simulation.set_holdings("w1", "m0", "m3")
         self.restarts = 0
 
     @rule(model=model_names, adapter=adapter_names, requests=st.floats(0.1, 6.0))
     def ask(self, model: str, adapter: str, requests: float) -> None:
-        self.world.ask_if_missing(model, adapter, requests)
+        self.simulation.request_class(model, adapter, requests)
 
     @rule(models=st.lists(model_names, min_size=3, max_size=8, unique=True))
     def ask_for_many(self, models: list[str]) -> None:
         for model in models:
-            self.world.ask_if_missing(model)
+            self.simulation.request_class(model)
 
     @rule(duration_s=st.floats(0.01, 2.0))
     def let_time_pass(self, duration_s: float) -> None:
-        self.world.run(duration_s)
+        self.simulation.run(duration_s)
 
     @rule(edge=st.sampled_from(["e1", "e2", "e3"]), instance=instances)
     def find_failing(self, edge: str, instance: str) -> None:
-        self.world.tell_failing(edge, instance)
+        self.simulation.report_failing(edge, instance)
 
     @rule()
     def change_the_owner(self) -> None:
-        self.world.take_over()
+        self.simulation.take_over()
 
     @rule(instance=instances)
     def lose_or_restore_answers(self, instance: str) -> None:
-        self.world.lost_answers ^= {instance}
+        self.simulation.lost_answers ^= {instance}
 
     @rule(instance=instances)
     def cut_off_or_reconnect(self, instance: str) -> None:
-        self.world.unreachable ^= {instance}
+        self.simulation.unreachable ^= {instance}
 
     @rule(instance=instances, model=model_names, duration_s=st.floats(0.1, 4.0))
     def run_long(self, instance: str, model: str, duration_s: float) -> None:
-        worker = self.world.workers.get(instance)
+        worker = self.simulation.workers.get(instance)
         if worker is not None:
-            worker.running_until_s[model] = self.world.now_s + duration_s
+            worker.running_until_s[model] = self.simulation.now_s + duration_s
 
     @rule(instance=instances)
     def drain_or_stay(self, instance: str) -> None:
-        worker = self.world.workers.get(instance)
+        worker = self.simulation.workers.get(instance)
         if worker is not None:
             worker.state = "draining" if worker.state == "available" else "available"
 
     @rule(instance=instances)
     def restart(self, instance: str) -> None:
-        worker = self.world.workers.pop(instance, None)
+        worker = self.simulation.workers.pop(instance, None)
         if worker is None:
             return
         self.restarts += 1
-        new = self.world.add_worker(f"{instance}-{self.restarts}", address=worker.address, zone=worker.zone)
+        new = self.simulation.add_worker(
+            f"{instance}-{self.restarts}", address=worker.address, zone=worker.zone
+        )
         new.on_disk = set(worker.on_disk)
 
     @invariant()
     def no_worker_holds_more_than_it_can(self) -> None:
-        if hasattr(self, "world"):
-            assert self.world.nobody_fell()
+        if hasattr(self, "simulation"):
+            assert self.simulation.no_worker_overfilled()
 
     @invariant()
     def the_store_is_within_its_ceiling(self) -> None:
-        if hasattr(self, "world"):
-            limit = self.world.models.load_rate_s * WINDOW_S * OVERAGE + 3.0
-            assert self.world.most_loads_in_window() <= limit
+        if hasattr(self, "simulation"):
+            limit = self.simulation.models.load_rate_s * WINDOW_S * OVERAGE + 3.0
+            assert self.simulation.max_loads_in_window() <= limit
 
     @invariant()
     def every_worker_sees_rising_tokens(self) -> None:
-        if hasattr(self, "world"):
-            for worker in self.world.workers.values():
+        if hasattr(self, "simulation"):
+            for worker in self.simulation.workers.values():
                 tokens = [order[-1] for order in worker.orders]
                 assert tokens == sorted(tokens)
 
     @invariant()
     def no_more_orders_than_answers_at_a_worker(self) -> None:
-        if hasattr(self, "world"):
-            assert self.world.most_orders_under_way <= 1
+        if hasattr(self, "simulation"):
+            assert self.simulation.max_orders_in_flight <= 1
 
 
 TestPlacementMachine = PlacementMachine.TestCase
@@ -131,7 +135,7 @@
 
 
 class CeilingMachine(RuleBasedStateMachine):
-    """Owners that load as fast as they may, one after the other; each order begins up to a second later."""
+    """Successive owners that load as fast as allowed; each load starts up to a second after its order."""
 
     @initialize(rate_per_s=st.floats(0.2, 20.0), window_s=st.floats(1.0, 20.0), overage=st.floats(1.0, 1.5))
     def start(self, rate_per_s: float, window_s: float, overage: float) -> None:
