--- a/arrowfold/placement/demand.py
+++ b/arrowfold/placement/demand.py
@@ -64,7 +64,7 @@
         "_options",
         "_fast",
         "_slow",
-        "_rare",
+        "_retention",
         "_cached_rates",
         "duration_s",
         "has_duration",
@@ -79,7 +79,7 @@
         self._options = options
         self._fast = Average(options.fast_s)
         self._slow = Average(options.slow_s)
-        self._rare = Average(options.rare_s)
+        self._retention = Average(options.rare_s)
         self._cached_rates = _Rates(math.nan, 0.0, 0.0)  # valid for their `at_s` only
         self.duration_s = DEFAULT_DURATION_S
         self.has_duration = False
@@ -91,7 +91,7 @@
 
     def add(self, requests: float, workload_s: float, missed: float, now_s: float) -> None:
         """Adds what one edge node counted since its last report."""
-        for average in (self._fast, self._slow, self._rare):
+        for average in (self._fast, self._slow, self._retention):
             average.add(requests, now_s)
         self._cached_rates = _Rates(math.nan, 0.0, 0.0)
         if requests > 0 or missed > 0:
@@ -124,7 +124,7 @@
         """Returns the averages at a time; cached, since all decisions of one pass use the same time."""
         if self._cached_rates.at_s != now_s:
             current = max(self._above_noise(self._fast.value(now_s)), self._slow.value(now_s))
-            self._cached_rates = _Rates(now_s, current, max(current, self._rare.value(now_s)))
+            self._cached_rates = _Rates(now_s, current, max(current, self._retention.value(now_s)))
         return self._cached_rates
 
     def _above_noise(self, fast: float) -> float:
--- a/arrowfold/placement/placer.py
+++ b/arrowfold/placement/placer.py
@@ -50,14 +50,14 @@
     """
 
     def __init__(
-        self, catalogue: ModelCatalogue, ceiling: LoadCeiling, options: PlacementOptions | None = None
+        self, catalogue: ModelCatalogue, load_limiter: LoadCeiling, options: PlacementOptions | None = None
     ) -> None:
         options = options or PlacementOptions()
         self._room_options = options.rooms
         self._failure_options = options.failures
         self._failures = FailureReports(options.failures)
         self._catalogue = catalogue
-        self._ceiling = ceiling
+        self._load_limiter = load_limiter
         self._demand = DemandEstimator(options.demand)
         self._fleet = PlacementFleet()
         self._planner = PlacementPlanner(self._fleet, self._demand, options)
@@ -183,7 +183,7 @@
         if (
             not is_first_unload
             and self._counts_against_limit(worker, intent.target.model)
-            and not self._ceiling.allows(now_s)
+            and not self._load_limiter.allows(now_s)
         ):
             return False
         if self._fleet.is_on_disk(worker, intent.target.model):
@@ -208,7 +208,7 @@
         if emptying >= max_emptying:
             return False
         worker = self._fleet.workers[instance]
-        return not self._counts_against_limit(worker, intent.target.model) or self._ceiling.allows_soon(
+        return not self._counts_against_limit(worker, intent.target.model) or self._load_limiter.allows_soon(
             now_s, emptying
         )
 
@@ -224,7 +224,7 @@
             worker.pending.from_own_disk = self._fleet.is_on_disk(worker, target.model)
             worker.pending.is_rate_limited = self._counts_against_limit(worker, target.model)
             if worker.pending.is_rate_limited:
-                self._ceiling.consume(now_s)
+                self._load_limiter.consume(now_s)
             self._note_load(worker.instance, now_s)
         elif order.operation is Operation.UNLOAD:
             self._planner.intents.note_unload(worker.instance)
@@ -281,7 +281,7 @@
 
     def _handle_not_accepted(self, worker: WorkerState, answer: OrderAnswer, now_s: float) -> None:
         if worker.pending is not None and worker.pending.is_rate_limited:
-            self._ceiling.refund()
+            self._load_limiter.refund()
         worker.pending = None
         worker.unconfirmed_load = None
         worker.report_due_s = now_s + REPORT_LAG_S
--- a/tests/system/placement_world.py
+++ b/tests/system/placement_world.py
@@ -32,7 +32,7 @@
 OVERAGE = 1.1
 REPORT_LAG_S = 0.1
 DELAY_S = 0.001
-OWN_DISK_RATIO = 0.5
+OWN_DISK_LOAD_RATIO = 0.5
 
 
 def catalogue(
@@ -207,8 +207,8 @@
         """Makes another node the owner, with a higher fencing token."""
         self.token += 1
         self._orders_in_flight.clear()
-        ceiling = LoadCeiling(self.models.load_rate_s, WINDOW_S, OVERAGE, self.now_s)
-        self.placer = ServicePlacer(self.models, ceiling, self.options)
+        load_limiter = LoadCeiling(self.models.load_rate_s, WINDOW_S, OVERAGE, self.now_s)
+        self.placer = ServicePlacer(self.models, load_limiter, self.options)
 
     def report_requests(
         self, model: str, adapter: str = "", requests: float = 1.0, took_s: float = 0.5, missing: bool = False
@@ -339,6 +339,6 @@
         self.all_loads.append(self.now_s)
         load_s = self.load_time_factor * max(spec.load_time_s for spec in self.models.models.values())
         if on_disk:
-            return load_s * OWN_DISK_RATIO
+            return load_s * OWN_DISK_LOAD_RATIO
         self.store_loads.append(self.now_s)
         return load_s
--- a/tests/system/test_placement_policies.py
+++ b/tests/system/test_placement_policies.py
@@ -125,7 +125,7 @@
     assert simulation.holders_of("m0") == []
     placer = simulation.placer
     assert placer is not None
-    placer._ceiling = LoadCeiling(0.0, 5.0, 0.0, simulation.now_s)
+    placer._load_limiter = LoadCeiling(0.0, 5.0, 0.0, simulation.now_s)
     simulation.run(4.0)
     # Then a model that it held before is loaded when missed again, and one that it never held is not
     simulation.report_requests("m0", missing=True)
--- a/tests/system/test_placement_properties.py
+++ b/tests/system/test_placement_properties.py
@@ -107,7 +107,7 @@
             assert self.simulation.no_worker_overfilled()
 
     @invariant()
-    def the_store_is_within_its_ceiling(self) -> None:
+    def the_store_is_within_its_rate_limit(self) -> None:
         if hasattr(self, "simulation"):
             limit = self.simulation.models.load_rate_s * WINDOW_S * OVERAGE + 3.0
             assert self.simulation.max_loads_in_window() <= limit
@@ -134,7 +134,7 @@
 )
 
 
-class CeilingMachine(RuleBasedStateMachine):
+class LoadLimiterMachine(RuleBasedStateMachine):
     """Successive owners that load as fast as allowed; each load starts up to a second after its order."""
 
     @initialize(rate_per_s=st.floats(0.2, 20.0), window_s=st.floats(1.0, 20.0), overage=st.floats(1.0, 1.5))
@@ -146,14 +146,14 @@
 
     @rule()
     def take_over(self) -> None:
-        self.ceiling = LoadCeiling(self.rate_per_s, self.window_s, self.overage, self.now_s)
+        self.load_limiter = LoadCeiling(self.rate_per_s, self.window_s, self.overage, self.now_s)
 
     @rule(duration_s=st.floats(0.0, 6.0), late_s=st.floats(0.0, 1.0))
     def load_all_the_time(self, duration_s: float, late_s: float) -> None:
         end_s = self.now_s + duration_s
         while self.now_s <= end_s:
-            if self.ceiling.allows(self.now_s):
-                self.ceiling.consume(self.now_s)
+            if self.load_limiter.allows(self.now_s):
+                self.load_limiter.consume(self.now_s)
                 self.begun.append(self.now_s + late_s)
             self.now_s += 0.01
 
@@ -171,5 +171,5 @@
             assert within <= limit
 
 
-TestCeilingMachine = CeilingMachine.TestCase
-TestCeilingMachine.settings = settings(max_examples=60, stateful_step_count=12, deadline=None)
+TestLoadLimiterMachine = LoadLimiterMachine.TestCase
+TestLoadLimiterMachine.settings = settings(max_examples=60, stateful_step_count=12, deadline=None)
