--- a/arrowfold/placement/ceiling.py
+++ b/arrowfold/placement/ceiling.py
@@ -3,7 +3,7 @@
 Let `limit = rate x window x overage + 3` be the maximum number of loads that may start in any window. A load
 may start up to `ANSWER_JITTER_S` after its order was sent. Each owner sends at most `burst + refill x
 (window + jitter)` loads in a window. An owner starts with an empty bucket, so it adds only `refill x time` to
-what its predecessor sent, and the sum over owners stays below the limit.
+what its predecessor sent, and the sum over owners stays below the limit, whatever the predecessor sent.
 """
 
 from __future__ import annotations
--- a/arrowfold/placement/failure_reports.py
+++ b/arrowfold/placement/failure_reports.py
@@ -13,9 +13,7 @@
 class _WorkerFailures:
     """Failure reports on one worker."""
 
-    last_report_s_by_edge: dict[str, float] = field(
-        default_factory=dict
-    )  # time of the last report of each edge node
+    last_report_s_by_edge: dict[str, float] = field(default_factory=dict)
     failing_until_s: float = -math.inf
 
 
--- a/arrowfold/placement/fleet.py
+++ b/arrowfold/placement/fleet.py
@@ -43,7 +43,7 @@
         return key in self._loading
 
     def holders(self, model: str) -> list[WorkerState]:
-        """Returns the workers that hold the model, without those about to leave."""
+        """Returns the workers that hold the model and count as holders."""
         return self._holders.get(model, [])
 
     def zones_of(self, model: str) -> set[str]:
@@ -57,9 +57,7 @@
     def __init__(self) -> None:
         self.workers: dict[str, WorkerState] = {}
         self._on_disk_by_address: dict[str, set[str]] = {}
-        self._confirmed_by_instance: dict[
-            str, set[str]
-        ] = {}  # by instance: models that a report has shown it to hold
+        self._confirmed_by_instance: dict[str, set[str]] = {}  # models that a report has shown
 
     def apply(self, records: Iterable[WorkerRecord], now_s: float) -> None:
         """Applies the complete list of known workers of this service."""
@@ -85,7 +83,7 @@
     def is_confirmed(self, worker: WorkerState, model: str) -> bool:
         """Returns True if a report has shown that this instance held the model.
 
-        Such a load does not read from the weight store.
+        Another load of the model on this instance does not read from the weight store.
         """
         return model in self._confirmed_by_instance.get(worker.instance, ())
 
@@ -98,7 +96,7 @@
         return FleetIndex(self.workers.values())
 
     def model_copies(self) -> Counter[str]:
-        """Counts for each model the workers that hold or load it, without those about to leave."""
+        """Counts for each model the workers that hold or load it and count as holders."""
         copies: Counter[str] = Counter()
         for worker in self.workers.values():
             if worker.counts_as_holder:
@@ -106,7 +104,7 @@
         return copies
 
     def adapter_copies(self) -> Counter[ModelClass]:
-        """Counts for each adapter the workers that hold it, without those about to leave."""
+        """Counts for each adapter the workers that hold it and count as holders."""
         copies: Counter[ModelClass] = Counter()
         for worker in self.workers.values():
             if worker.counts_as_holder:
--- a/arrowfold/placement/load_times.py
+++ b/arrowfold/placement/load_times.py
@@ -4,13 +4,11 @@
 
 from arrowfold.placement.catalogue import ModelSpec
 
-INITIAL_OWN_DISK_RATIO = (
-    0.6  # load time from a worker's own disk relative to the weight store, before the first load
-)
+INITIAL_OWN_DISK_RATIO = 0.6  # load time from a worker's own disk relative to that from the weight store
 OWN_DISK_RATIO_WEIGHT = 0.3  # weight of a new observation
 MIN_OWN_DISK_RATIO = 0.05
 ADAPTER_LOAD_S = 0.03
-INITIAL_UNLOAD_S = 0.05  # expected unload time of a model without running requests
+INITIAL_UNLOAD_S = 0.05  # expected unload time without running requests, until an unload took longer
 MAX_UNLOAD_S = 0.3
 UNLOAD_GROWTH = 1.5  # after an unload that took longer than expected
 UNLOAD_DECAY = 0.98  # after one that did not
--- a/arrowfold/placement/load_trace.py
+++ b/arrowfold/placement/load_trace.py
@@ -10,7 +10,7 @@
 from arrowfold.placement.intents import LoadIntent
 from arrowfold.placement.worker_state import PendingOrder
 
-KIND = "load"
+KIND = "load"  # kind of the trace records
 MAX_KEPT_TRACES = 256  # older traces that were not taken are dropped
 
 
@@ -22,7 +22,7 @@
     model: str
     adapter: str
     urgent: bool  # a request was waiting for it
-    first_miss_s: float  # first missed request for its class; -inf if there was none
+    first_miss_s: float  # since when its class has been missed; -inf if it was not
     planned_s: float
     unload_sent_s: float | None  # first unload for it; None if none was necessary
     sent_s: float
--- a/arrowfold/placement/valuation.py
+++ b/arrowfold/placement/valuation.py
@@ -30,11 +30,11 @@
         self._index = fleet.index()
 
     def copies(self, model: str) -> int:
-        """Returns the number of workers that hold or load the model, without those about to leave."""
+        """Returns the number of workers that hold or load the model and count as holders."""
         return self._copies[model]
 
     def adapter_copies(self, key: ModelClass) -> int:
-        """Returns the number of workers that hold this adapter, without those about to leave."""
+        """Returns the number of workers that hold this adapter and count as holders."""
         return self._adapter_copies[key]
 
     def adapter_rate_per_s(self, model: str) -> float:
