--- a/arrowfold/placement/worker_state.py
+++ b/arrowfold/placement/worker_state.py
@@ -79,7 +79,7 @@
 
     @property
     def counts_as_holder(self) -> bool:
-        """True if its models count as copies: it is available, has its address and is not ignored as failing."""
+        """True if its models count as copies: it is available, reachable by its address and not ignored."""
         return self.state == AVAILABLE and not self.is_unusable and not self.has_ignored_copies
 
     @property
