--- a/arrowfold/dataplane/node.py
+++ b/arrowfold/dataplane/node.py
@@ -20,7 +20,7 @@
 from arrowfold.dataplane.request_trace import TraceSink
 from arrowfold.dataplane.retry_budget import RetryBudget
 from arrowfold.dataplane.stalled_exchanges import StalledExchangeWatch
-from arrowfold.dataplane.tables import SILENT, ConfigurationSnapshot, FleetSnapshot, FleetTables
+from arrowfold.dataplane.tables import UNRESPONSIVE, ConfigurationSnapshot, FleetSnapshot, FleetTables
 from arrowfold.dataplane.usage_counts import UsageCounts
 from arrowfold.dataplane.usage_reporter import LAST_REPORT_TIMEOUT_S, USAGE_DUTY, UsageReporter
 from arrowfold.dataplane.worker_connections import FEWEST_CONNECTIONS, WorkerConnections
@@ -56,9 +56,9 @@
         states = frozenset((instance, record.state) for instance, record in snapshot.workers.items())
         return cls(configuration.sequence if configuration is not None else None, edges, states)
 
-    def has_silent(self) -> bool:
+    def has_unresponsive(self) -> bool:
         """Whether a worker is silent: connections to it that rest are dropped again and again."""
-        return any(state == SILENT for _, state in self.states)
+        return any(state == UNRESPONSIVE for _, state in self.states)
 
 
 class EdgeNode:
@@ -202,7 +202,7 @@
             self._selector.apply_edges(edges)
             self._budget.apply_edges(edges, now_s)
         shared = _ConnectionSharers.of(snapshot, max(1, edges))
-        if shared != self._sharers or shared.has_silent():
+        if shared != self._sharers or shared.has_unresponsive():
             self._sharers = shared
             self._share_connections(shared.edges)
         self._forwarder.workers_changed()
@@ -223,7 +223,7 @@
             service = services.get(record.service)
             most = service.max_connections if service is not None else None
             shares[instance] = max(FEWEST_CONNECTIONS, (most or DEFAULT_CONNECTIONS) // edges)
-            if record.state == SILENT:
+            if record.state == UNRESPONSIVE:
                 self._connections.drop_idle_of(instance)
         self._connections.set_shares(shares)
         self._connections.keep_only(set(shares))
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -490,7 +490,7 @@
         ),
         (
             "a worker that drains doesn't come back",
-            "if known.state in (DRAINING, GONE) and _SEVERITY[record.state] < _SEVERITY[known.state]:",
+            "if known.state in (DRAINING, REMOVED) and _SEVERITY[record.state] < _SEVERITY[known.state]:",
             "if False:",
         ),
         (
@@ -500,7 +500,7 @@
         ),
         (
             "a departure outlives later records",
-            "if departure is not None and departure.state == GONE:",
+            "if departure is not None and departure.state == REMOVED:",
             "if False:",
         ),
         (
@@ -520,7 +520,7 @@
         ),
         (
             "a step that was missed is asked for whole",
-            "        if self.misses_change:\n",
+            "        if self.needs_full_configuration:\n",
             "        if False:\n",
         ),
         ("a view never goes back", "if known is None or view.epoch >= known.epoch:", "if True:"),
