--- a/arrowfold/dataplane/credentials.py
+++ b/arrowfold/dataplane/credentials.py
@@ -1,7 +1,7 @@
-"""Which tenant a client's request belongs to, by the key that it carries. No key is kept: only its digest.
+"""Authentication of client requests: finds the tenant that owns a request's key. Only key digests are kept.
 
-A request is looked at when it comes, and again where each attempt at a worker begins, since a key may have
-been taken away meanwhile.
+A request is checked on arrival and again before each attempt, because its key may have been removed
+meanwhile.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from arrowfold.dataplane.own_answers import KEYS_RETRY_S, OwnAnswer, not_executed
 from arrowfold.node.result_codes import ResultCode
 
-TENANTS_CONTRACT = "tenants"  # of the settings: requests carry keys, whatever configuration is in force
-_SCHEME = b"bearer"  # in lower case; its case does not count (RFC 9110, section 11.1)
-_LENGTH = len(AUTHORIZATION)
+TENANTS_CONTRACT = "tenants"  # in the settings: requests may carry keys, whatever configuration is in force
+_SCHEME = b"bearer"  # compared in lower case: schemes are case-insensitive (RFC 9110, section 11.1)
+_AUTHORIZATION_LENGTH = len(AUTHORIZATION)
 _KEY_MISSING = OwnAnswer(401, ResultCode.KEY_MISSING)
 _KEY_UNKNOWN = OwnAnswer(401, ResultCode.KEY_UNKNOWN)
 _KEY_MALFORMED = OwnAnswer(401, ResultCode.KEY_MALFORMED)
@@ -28,8 +28,8 @@
 _KEY_NOT_VERIFIABLE = not_executed(ResultCode.KEY_NOT_VERIFIABLE, KEYS_RETRY_S)
 
 
-class Presented(Enum):
-    """What a request shows of a key."""
+class CredentialKind(Enum):
+    """What the Authorization header of a request contains."""
 
     NOTHING = "nothing"
     KEY = "key"
@@ -39,46 +39,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """What a request presents. `digest`: of its key, as `key_digest` makes it; empty without one."""
+    """The credentials of a request. `digest` is that of its key by `key_digest`, or empty without a key."""
 
-    presented: Presented
+    kind: CredentialKind
     digest: str = field(default="", repr=False)
 
 
-# Ok: the request may go on, with its key's owner; None without a key, or where none is needed.
+# Ok if the request may proceed, with the owner of its key; None if it has no key or none is needed.
 Admission = Result[Tenant | None, OwnAnswer]
-NO_CREDENTIALS = Credentials(Presented.NOTHING)
+NO_CREDENTIALS = Credentials(CredentialKind.NOTHING)
 _WITHOUT_TENANT: Admission = Ok(None)
 
 
 def read_credentials(headers: RawHeaders) -> Credentials:
-    """What the headers of a request present; never fails."""
-    values = [value for name, value in headers if len(name) == _LENGTH and name.lower() == AUTHORIZATION]
+    """Returns the credentials in a request's headers; never fails."""
+    values = [
+        value
+        for name, value in headers
+        if len(name) == _AUTHORIZATION_LENGTH and name.lower() == AUTHORIZATION
+    ]
     if not values:
         return NO_CREDENTIALS
     if len(values) > 1:
-        return Credentials(Presented.REPEATED)
+        return Credentials(CredentialKind.REPEATED)
     words = values[0].split()
     if len(words) != 2 or words[0].lower() != _SCHEME:
-        return Credentials(Presented.MALFORMED)
-    return Credentials(Presented.KEY, key_digest(words[1]))
+        return Credentials(CredentialKind.MALFORMED)
+    return Credentials(CredentialKind.KEY, key_digest(words[1]))
 
 
 def admit(
     credentials: Credentials, tenants: TenantTable, route: Route, keys_are_fresh: Callable[[], bool]
 ) -> Admission:
-    """Whether a request may go on by these tenants; the answer that it gets instead, if not.
+    """Returns whether a request may proceed under these tenants, or else the edge's own answer to it.
 
-    `keys_are_fresh`: whether the tenants are known to be recent enough for a key to count; asked only where
-    a key is given.
+    `keys_are_fresh` returns whether the tenants are recent enough to accept a key; it is called only for
+    requests that carry one.
     """
     if not tenants.required:
         return _without_tenants(credentials, keys_are_fresh)
-    if credentials.presented is Presented.NOTHING:
+    if credentials.kind is CredentialKind.NOTHING:
         return _WITHOUT_TENANT if route.public_access else Err(_KEY_MISSING)
-    if credentials.presented is Presented.REPEATED:
+    if credentials.kind is CredentialKind.REPEATED:
         return Err(_KEY_REPEATED)
-    if credentials.presented is Presented.MALFORMED:
+    if credentials.kind is CredentialKind.MALFORMED:
         return Err(_KEY_MALFORMED)
     if not keys_are_fresh():
         return Err(_KEY_NOT_VERIFIABLE)
@@ -87,7 +91,10 @@
 
 
 def _without_tenants(credentials: Credentials, keys_are_fresh: Callable[[], bool]) -> Admission:
-    """A key that is given waits for fresh word: tenants may have come, and this key may be gone, since."""
-    if credentials.presented is Presented.KEY and not keys_are_fresh():
+    """Admits a request under a configuration without tenants.
+
+    A request with a key needs a fresh configuration: tenants may have been added since, and its key removed.
+    """
+    if credentials.kind is CredentialKind.KEY and not keys_are_fresh():
         return Err(_KEY_NOT_VERIFIABLE)
     return _WITHOUT_TENANT
--- a/arrowfold/dataplane/key_checks.py
+++ b/arrowfold/dataplane/key_checks.py
@@ -1,4 +1,4 @@
-"""Looks at keys of requests by the configuration of the moment: on arrival and before each attempt."""
+"""Checks of requests' keys against the current configuration, on arrival and before each attempt."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class KeyChecks:
-    """Admits requests; `keys_are_fresh` is asked only for those that carry a key."""
+    """Admits requests; `keys_are_fresh` is called only for those that carry a key."""
 
     def __init__(
         self,
@@ -22,7 +22,7 @@
         keys_are_fresh: Callable[[], bool],
         always_hides_keys: bool,
     ) -> None:
-        """`always_hides_keys`: Authorization stays here even while the configuration has no tenants."""
+        """`always_hides_keys`: never forward Authorization, even if the configuration has no tenants."""
         self._snapshot = snapshot
         self._keys_are_fresh = keys_are_fresh
         self._always_hides_keys = always_hides_keys
@@ -30,11 +30,11 @@
     def admit(
         self, configuration: ConfigurationSnapshot, route: Route, credentials: Credentials
     ) -> Admission:
-        """Whether a request that has just come may go on."""
+        """Returns whether a request that has just arrived may proceed."""
         return admit(credentials, configuration.routes.tenants, route, self._keys_are_fresh)
 
     def look_again(self, progress: RequestProgress) -> Result[None, OwnAnswer]:
-        """Whether an attempt may begin now; the request takes its key's owner of this moment."""
+        """Returns whether an attempt may begin now, and assigns the key's current owner to the request."""
         configuration = self._snapshot().configuration
         if configuration is None:
             return Ok(None)
