--- a/arrowfold/dataplane/reports.py
+++ b/arrowfold/dataplane/reports.py
@@ -1,4 +1,4 @@
-"""Tells the owners of placement which models this edge's clients ask for."""
+"""Reports of this edge's demand for models to the owners of the services' placements."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from arrowfold.internal.messages import ClassDemand, ClusterView, DemandReport, NodeIdentity
 from arrowfold.selection.interface import WorkerSelector
 
-PLACEMENT_ROLE = "placement/"
+PLACEMENT_ROLE_PREFIX = "placement/"
 REPORT_TIMEOUT_S = 1.0
 
 
@@ -23,7 +23,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def report(self, view: ClusterView | None, period_s: float, now_s: float) -> None:
-        """Send what was seen since the last call, without waiting for the answer."""
+        """Sends the demand since the last call, without waiting for the answers.
+
+        `period_s` is the time in seconds that the demand covers. Demand is discarded while no view is known.
+        """
         demand = self._selector.take_demand(now_s)
         failing = self._selector.take_failing()
         if view is None or not demand:
@@ -44,14 +47,14 @@
 
 
 def owner_address(view: ClusterView, service: str) -> str | None:
-    """The internal address of the owner of this service's placement, or of the primary."""
+    """Returns the internal address of the owner of this service's placement, or else of the primary."""
     owners = {role.role: role.member for role in view.roles}
-    owner = owners.get(PLACEMENT_ROLE + service, view.primary)
+    owner = owners.get(PLACEMENT_ROLE_PREFIX + service, view.primary)
     return _member_address(view, owner)
 
 
 def role_address(view: ClusterView, role: str) -> str | None:
-    """The internal address of the holder of a role, or None while nobody is known to hold it."""
+    """Returns the internal address of the holder of a role, or None if no holder is known."""
     holder = next((owner.member for owner in view.roles if owner.role == role), None)
     return _member_address(view, holder)
 
--- a/arrowfold/dataplane/usage_reporter.py
+++ b/arrowfold/dataplane/usage_reporter.py
@@ -1,4 +1,7 @@
-"""Tells the holder of the usage duty what this edge counted, each second: also soon after a window ends."""
+"""Reports of this edge's request counts to the holder of the usage duty.
+
+A report is sent each second, and therefore also soon after the end of each window.
+"""
 
 from __future__ import annotations
 
@@ -16,8 +19,8 @@
 USAGE_ROLE = "duty/usage"
 USAGE_DUTY = "usage_report"  # the duty's name in the settings
 REPORT_INTERVAL_S = 1.0
-SHORTEST_PAUSE_S = 0.1  # a timer may come a little early: the moment has passed then
-LAST_REPORT_TIMEOUT_S = 0.4  # at the end of the process
+MIN_REPORT_PAUSE_S = 0.1  # a timer may fire slightly early; its report then counts as the one that is due
+LAST_REPORT_TIMEOUT_S = 0.4  # for the report at the end of the process
 REPORT_TIMEOUT_S = 0.8
 
 
@@ -25,11 +28,11 @@
     """Calls control nodes by their internal addresses."""
 
     async def call(self, address: str, request: Any, timeout_s: float) -> Result[Any, Any]:
-        """The peer's answer, or why there is none."""
+        """Returns the node's answer, or the reason why there is none."""
 
 
 class UsageReporter:
-    """Reports again and again; each edge at its own moment of the second, so that they don't all at once."""
+    """Reports periodically, at a random offset that spreads the edges' reports over the interval."""
 
     def __init__(
         self,
@@ -39,7 +42,7 @@
         view: Callable[[], ClusterView | None],
         draw: random.Random | None = None,
     ) -> None:
-        """`view`: the group as the edge knows it; `draw` gives the moment."""
+        """`view` returns the control group as known to the edge; `draw` supplies the offset."""
         self._caller = caller
         self._identity = identity
         self._counts = counts
@@ -47,13 +50,16 @@
         self._offset_s = (draw or random.Random()).random() * REPORT_INTERVAL_S
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Sends reports until cancelled."""
         while True:
             await asyncio.sleep(self._pause_s())
             await self.report()
 
     async def report(self, timeout_s: float = REPORT_TIMEOUT_S) -> None:
-        """Tell the holder every window that is not known to be decided, and forget what it says is."""
+        """Sends the counts of all undecided windows and drops those that the receipt lists as decided.
+
+        Does nothing while no node is known to hold the duty; a failed report is repeated by the next one.
+        """
         view = self._view()
         address = role_address(view, USAGE_ROLE) if view is not None else None
         if address is None:
@@ -64,7 +70,7 @@
             self._counts.decided(answer.decided_through)
 
     def _pause_s(self) -> float:
-        """Until this edge's next moment, counted from the ends of windows."""
-        into_s = (self._counts.since_window_end_s() - self._offset_s) % REPORT_INTERVAL_S
-        pause_s = REPORT_INTERVAL_S - into_s
-        return pause_s if pause_s >= SHORTEST_PAUSE_S else pause_s + REPORT_INTERVAL_S
+        """Returns the time in seconds until the next report; the offset counts from the ends of windows."""
+        elapsed_s = (self._counts.since_window_end_s() - self._offset_s) % REPORT_INTERVAL_S
+        pause_s = REPORT_INTERVAL_S - elapsed_s
+        return pause_s if pause_s >= MIN_REPORT_PAUSE_S else pause_s + REPORT_INTERVAL_S
--- a/tests/system/test_usage_edge.py
+++ b/tests/system/test_usage_edge.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from arrowfold.dataplane.exchange import SendFailure
-from arrowfold.dataplane.usage_counts import MOST_WINDOWS, UsageCounts
+from arrowfold.dataplane.usage_counts import MAX_UNDECIDED_WINDOWS, UsageCounts
 from arrowfold.dataplane.usage_reporter import REPORT_INTERVAL_S, UsageReporter
 from arrowfold.internal.messages import (
     ClusterView,
@@ -174,10 +174,10 @@
 def test_given_no_decision_then_only_so_many_windows_are_kept() -> None:
     now = [0.0]
     counts = _counts_at(now)
-    for _ in range(MOST_WINDOWS + 3):
+    for _ in range(MAX_UNDECIDED_WINDOWS + 3):
         counts.begun("huka")
         now[0] += WINDOW_S
-    assert [told.window for told in counts.undecided()] == list(range(3, MOST_WINDOWS + 3))
+    assert [told.window for told in counts.undecided()] == list(range(3, MAX_UNDECIDED_WINDOWS + 3))
 
 
 class Holders:
