--- a/arrowfold/dataplane/options.py
+++ b/arrowfold/dataplane/options.py
@@ -1,4 +1,4 @@
-"""What may be set of the data plane. The defaults are the project's; none is of one deployment."""
+"""Settable options of the data plane. The defaults are independent of any deployment."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DataPlaneOptions:
-    """Options of an edge beside its selection."""
+    """Options of an edge other than those of its worker selection."""
 
-    misdirections: int = 3  # answers 421 that cost a request no attempt: a load ended later than expected
-    placement_overlay: bool = True  # what the owner of the placement tells goes before workers' heartbeats
+    misdirections: int = 3  # 421 responses that do not count as attempts: a load ended later than expected
+    placement_overlay: bool = True  # the placement owner's corrections take precedence over heartbeats
--- a/arrowfold/dataplane/placement_overlay.py
+++ b/arrowfold/dataplane/placement_overlay.py
@@ -1,4 +1,4 @@
-"""Workers' records with what the owner of the placement knows ahead of the next heartbeat."""
+"""Corrections of workers' records by the owner of a placement, ahead of the workers' next heartbeats."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from arrowfold.dataplane.tables import PlacementTable
 from arrowfold.internal.messages import ArrivingModel, WorkerCorrection, WorkerRecord
 
-UPDATE_VALID_S = 3.0  # the owner renews its corrections each second; heartbeats come more often than this
+UPDATE_VALID_S = 3.0  # the owner renews its corrections each second; heartbeats arrive more often than this
 
 
 @dataclass(frozen=True, slots=True)
-class _Laid:
-    """A record as it was corrected."""
+class _CorrectedRecord:
+    """A record, the correction that was applied to it, and the result."""
 
     record: WorkerRecord
     correction: WorkerCorrection
@@ -21,49 +21,56 @@
 
 
 class PlacementOverlay:
-    """Lays the newest corrections over the records; those of an owner that does not renew them expire.
+    """Applies the newest corrections to the records; they expire if their owner does not renew them.
 
-    A worker of which nothing new was told keeps the same record, so that it counts as unchanged.
+    As long as a worker's record and correction stay the same, so does the resulting object, so that the
+    worker counts as unchanged.
     """
 
     def __init__(self) -> None:
-        self._tables: dict[str, tuple[PlacementTable, float]] = {}  # by service, and when it was first seen
-        self._first_seen: dict[str, tuple[WorkerCorrection, float]] = {}  # by instance
-        self._laid: dict[str, _Laid] = {}
+        self._tables: dict[str, tuple[PlacementTable, float]] = {}  # by service, with the time of receipt
+        self._first_seen: dict[
+            str, tuple[WorkerCorrection, float]
+        ] = {}  # by instance, with the time of receipt
+        self._corrected: dict[str, _CorrectedRecord] = {}
 
     def corrected(
         self, workers: Iterable[WorkerRecord], tables: Mapping[str, PlacementTable], now_s: float
     ) -> tuple[WorkerRecord, ...]:
-        """The records as they should read now."""
+        """Returns the records, in order, with all valid corrections applied."""
         corrections = self._valid_corrections(tables, now_s)
-        before, self._laid = self._laid, {}
-        return tuple(self._lay(record, corrections.get(record.instance), before, now_s) for record in workers)
+        before, self._corrected = self._corrected, {}
+        return tuple(
+            self._correct(record, corrections.get(record.instance), before, now_s) for record in workers
+        )
 
     def has_expired(self, now_s: float) -> bool:
-        """True if records were corrected by an owner that no longer renews its corrections."""
-        return bool(self._laid) and not any(_is_valid(seen_s, now_s) for _, seen_s in self._tables.values())
+        """Returns whether records are still corrected although all corrections have expired."""
+        return bool(self._corrected) and not any(
+            _is_valid(seen_s, now_s) for _, seen_s in self._tables.values()
+        )
 
-    def _lay(
+    def _correct(
         self,
         record: WorkerRecord,
         correction: WorkerCorrection | None,
-        before: Mapping[str, _Laid],
+        before: Mapping[str, _CorrectedRecord],
         now_s: float,
     ) -> WorkerRecord:
         if correction is None:
             return record
-        laid = before.get(record.instance)
-        if laid is None or laid.record is not record or laid.correction is not correction:
+        known = before.get(record.instance)
+        if known is None or known.record is not record or known.correction is not correction:
             age_s = now_s - self._first_seen[record.instance][1]
             result = replace(
                 record,
                 models=correction.models,
-                arriving=_aged(correction, age_s),
+                arriving=_remaining_arrivals(correction, age_s),
                 troubled=correction.troubled,
             )
-            laid = _Laid(record, correction, result)
-        self._laid[record.instance] = laid
-        return laid.result
+            known = _CorrectedRecord(record, correction, result)
+        self._corrected[record.instance] = known
+        return known.result
 
     def _valid_corrections(
         self, tables: Mapping[str, PlacementTable], now_s: float
@@ -79,8 +86,8 @@
         self._first_seen = {}
         for instance, correction in corrections.items():
             first = seen.get(instance)
-            fresh = first is None or first[0] is not correction
-            self._first_seen[instance] = (correction, now_s) if first is None or fresh else first
+            is_new = first is None or first[0] is not correction
+            self._first_seen[instance] = (correction, now_s) if first is None or is_new else first
         return corrections
 
 
@@ -88,7 +95,7 @@
     return now_s - seen_s < UPDATE_VALID_S
 
 
-def _aged(correction: WorkerCorrection, age_s: float) -> tuple[ArrivingModel, ...]:
+def _remaining_arrivals(correction: WorkerCorrection, age_s: float) -> tuple[ArrivingModel, ...]:
     return tuple(
         ArrivingModel(item.model, item.adapter, max(0.0, item.ready_in_s - age_s))
         for item in correction.arriving
--- a/arrowfold/dataplane/request_trace.py
+++ b/arrowfold/dataplane/request_trace.py
@@ -1,4 +1,4 @@
-"""What became of one request at an edge, step by step, for `explain`. Times are seconds after its arrival."""
+"""Trace of the steps of one request at an edge, for `explain`. Times are in seconds after its arrival."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 REQUEST_KIND = "request"
 UNROUTED_KIND = "unrouted"  # refused before its route was known
-MILLISECONDS = 1000.0
+MS_PER_S = 1000.0
 
 
 class TraceSink(Protocol):
-    """Takes trace records."""
+    """A destination of trace records."""
 
     def write(self, kind: str, fields: dict[str, Any]) -> None:
-        """Keep one record."""
+        """Writes one record."""
 
 
 @dataclass(slots=True)
-class SendStep:
-    """One send to a worker."""
+class AttemptStep:
+    """One attempt at a worker."""
 
     instance: str
     sent_s: float
-    predicted_s: float  # to the first event, by the selection
+    predicted_s: float  # time to the first event, as predicted by the selection
     first_event_s: float | None = None
     ended_s: float | None = None
     outcome: str = ""
@@ -35,51 +35,51 @@
 class RequestTrace:
     """The steps of one request."""
 
-    arrived_s: float  # on the edge's clock
-    missed_s: float | None = None  # it found no worker that holds its class
-    load_known_s: float | None = None  # the edge knew that a load of its class was under way
-    held_s: float | None = None  # a worker held its class, after it had been missed
-    sends: list[SendStep] = field(default_factory=list)
+    arrived_s: float  # by the edge's clock
+    missed_s: float | None = None  # when no worker was found that holds its class
+    load_known_s: float | None = None  # when the edge knew that a load of its class was in progress
+    held_s: float | None = None  # when a worker held its class after it had been missing
+    sends: list[AttemptStep] = field(default_factory=list)
     longest_pause_s: float = 0.0
-    status: int = 0  # of the answer; 0 where the client left or the answer broke off
-    code: int = 0  # of the edge's own answer
+    status: int = 0  # of the answer; 0 if the client disconnected or the answer was aborted
+    code: int = 0  # result code, if the edge itself answered
     retry_after_s: float | None = None
 
     def missed(self, now_s: float, load_is_known: bool) -> None:
-        """No worker holds the class now."""
+        """Records that no worker holds the class."""
         if self.missed_s is None:
             self.missed_s = now_s - self.arrived_s
         if load_is_known and self.load_known_s is None:
             self.load_known_s = now_s - self.arrived_s
 
     def sent(self, instance: str, predicted_s: float, now_s: float) -> None:
-        """It goes to a worker."""
+        """Records the begin of an attempt."""
         if self.missed_s is not None and self.held_s is None:
             self.held_s = now_s - self.arrived_s
-        self.sends.append(SendStep(instance, now_s - self.arrived_s, predicted_s))
+        self.sends.append(AttemptStep(instance, now_s - self.arrived_s, predicted_s))
 
     def first_event(self, now_s: float) -> None:
-        """The first bytes of the body came from the worker it was sent to last."""
+        """Records the first bytes of the body in the last attempt."""
         if self.sends and self.sends[-1].first_event_s is None:
             self.sends[-1].first_event_s = now_s - self.arrived_s
 
     def send_ended(self, outcome: str, now_s: float) -> None:
-        """The last send has ended."""
+        """Records the end of the last attempt."""
         if self.sends:
             self.sends[-1].ended_s = now_s - self.arrived_s
             self.sends[-1].outcome = outcome
 
     def is_in_time(self, profile: RequestProfile) -> bool:
-        """Whether the answer earned its whole worth, as far as the edge sees."""
+        """Returns whether the answer met the latency and pause objectives, as far as the edge can see."""
         if not 200 <= self.status < 300 or not self.sends:
             return False
         last = self.sends[-1]
-        came_s = last.first_event_s if profile.streaming else last.ended_s
-        paused = 0 < profile.pause_objective_s < self.longest_pause_s
-        return came_s is not None and came_s <= profile.latency_objective_s and not paused
+        answered_s = last.first_event_s if profile.streaming else last.ended_s
+        has_long_pause = 0 < profile.pause_objective_s < self.longest_pause_s
+        return answered_s is not None and answered_s <= profile.latency_objective_s and not has_long_pause
 
     def record(self, profile: RequestProfile, end_s: float) -> dict[str, Any]:
-        """The fields of its record; times in whole milliseconds."""
+        """Returns the fields of the trace record; times in whole milliseconds, `at` in seconds."""
         return {
             "at": round(self.arrived_s, 3),
             "id": profile.request,
@@ -115,4 +115,4 @@
 
 
 def _ms(seconds: float | None) -> int | None:
-    return None if seconds is None else round(seconds * MILLISECONDS)
+    return None if seconds is None else round(seconds * MS_PER_S)
