--- a/arrowfold/dataplane/front.py
+++ b/arrowfold/dataplane/front.py
@@ -1,4 +1,4 @@
-"""The HTTP front of an edge on aiohttp's low-level server: reads requests, writes answers, is probed."""
+"""The HTTP servers of an edge, on aiohttp's low-level server: the clients' front and readiness probes."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 DEFAULT_HEADER_BYTES = 64 * 1024
 DEFAULT_BODY_BYTES = 64 * 1024 * 1024
-IDLE_CLOSE_S = 600.0  # longer than any client may rest a connection
-CLOSING_LOOK_S = 0.05  # between looks at what is left while the front ends
-LIMIT_SLACK_S = 0.5  # beyond the time limits of the configuration
-IDLE_FACTOR = 1.25  # a connection is closed after this part of the longest idle time that was ever in force
-QUIET_S = 0.1  # without a byte: no request is just being read
+AIOHTTP_KEEPALIVE_S = 600.0  # longer than a client may keep a connection idle, which `close_overdue` enforces
+SHUTDOWN_POLL_S = 0.05  # between checks of the remaining connections while the front stops
+HEADER_TIMEOUT_SLACK_S = 0.5  # beyond the configured header timeout
+IDLE_TIMEOUT_FACTOR = 1.25  # times the longest idle timeout that was ever in force
+MIN_INPUT_PAUSE_S = 0.1  # without a byte received: no request is currently being read
 _LOGGER = logging.getLogger("arrowfold.front")
 Forward = Callable[[ClientRequest, ClientAnswer], Awaitable[None]]
 
@@ -34,42 +34,42 @@
 class AiohttpAnswer:
     """Writes a `ClientAnswer` as a response of aiohttp."""
 
-    def __init__(self, request: BaseRequest, closes: Callable[[], bool]) -> None:
-        """`closes`: asked when the head goes out, whether the connection ends after this answer."""
+    def __init__(self, request: BaseRequest, closes_connection: Callable[[], bool]) -> None:
+        """`closes_connection` is called when the head is sent: whether to close after this answer."""
         self._request = request
-        self._closes = closes
+        self._closes_connection = closes_connection
         self.response: web.StreamResponse | None = None
 
     @property
     def started(self) -> bool:
-        """Whether the head was passed on."""
+        """Whether the head has been sent."""
         return self.response is not None
 
     async def start(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Pass on the head of an answer whose body is of unknown length."""
+        """Sends the head of an answer whose body is of unknown length."""
         response = self._response(status, headers)
         response.enable_chunked_encoding()
         await response.prepare(self._request)
 
     async def write(self, data: bytes) -> None:
-        """Pass on a part of the body at once."""
+        """Sends a part of the body immediately."""
         assert self.response is not None
         await self.response.write(data)
 
     async def finish(self) -> None:
-        """End the body, so that the answer is complete."""
+        """Ends the body, which completes the answer."""
         assert self.response is not None
         await self.response.write_eof()
 
     async def send_whole(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """Pass on a whole answer."""
+        """Sends a complete answer with a Content-Length."""
         response = self._response(status, headers)
         response.content_length = len(body)
         await response.prepare(self._request)
         await response.write_eof(body)
 
     def abort(self) -> None:
-        """Break off, so that the answer can't look complete."""
+        """Closes the connection, so that the client sees the answer as incomplete."""
         if self._request.transport is not None:
             self._request.transport.close()
 
@@ -78,7 +78,7 @@
         for name, value in headers:
             fields.add(name.decode("latin-1"), value.decode("latin-1"))
         response = web.StreamResponse(status=status, reason=_reason(status), headers=fields)
-        if self._closes():
+        if self._closes_connection():
             response.force_close()
         self.response = response
         return response
@@ -92,62 +92,62 @@
 
 
 class ClientConnection(web.RequestHandler):
-    """A client's connection that knows when bytes last came, and since when a request has been coming."""
+    """A client's connection that tracks its last input and the progress of its current request."""
 
-    received_s = 0.0
-    coming_since_s: float | None = None  # the first bytes of a request that is not under way yet
-    under_way = False  # a request whose head has come and whose answer has not ended
+    last_received_s = 0.0
+    head_started_s: float | None = None  # arrival of the first bytes of a request whose head is incomplete
+    is_request_active = False  # the head was received and the answer has not ended
     chunked_end: ChunkedEnd
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to rest."""
+        """Initialises the connection as idle."""
         self.chunked_end = ChunkedEnd()
-        self.received_s = self._loop.time()
+        self.last_received_s = self._loop.time()
         super().connection_made(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the client."""
-        self.received_s = self._loop.time()
-        if self.coming_since_s is None and not self.under_way:
-            self.coming_since_s = self.received_s
+        """Receives bytes from the client."""
+        self.last_received_s = self._loop.time()
+        if self.head_started_s is None and not self.is_request_active:
+            self.head_started_s = self.last_received_s
         self.chunked_end.take(data)
         super().data_received(data)
 
     def request_began(self) -> None:
-        """The head of a request has come whole; what comes now is its body."""
-        self.coming_since_s = None
-        self.under_way = True
+        """Records that the head of a request is complete; further input belongs to its body."""
+        self.head_started_s = None
+        self.is_request_active = True
 
     def request_ended(self) -> None:
-        """Its answer has ended: the connection rests."""
-        self.under_way = False
-        self.received_s = self._loop.time()
+        """Records that the answer has ended; the connection is idle again."""
+        self.is_request_active = False
+        self.last_received_s = self._loop.time()
 
     def is_overdue(self, limits: Limits, longest_idle_s: float, now_s: float) -> bool:
-        """Whether its client has taken too long for a head, or has rested too long."""
-        if self.coming_since_s is not None:
+        """Returns whether the client has exceeded the time for a head, or the connection its idle time."""
+        if self.head_started_s is not None:
             allowed_s = limits.header_timeout_s
-            return allowed_s is not None and now_s - self.coming_since_s > allowed_s + LIMIT_SLACK_S
-        return now_s - self.received_s > longest_idle_s * IDLE_FACTOR
+            return allowed_s is not None and now_s - self.head_started_s > allowed_s + HEADER_TIMEOUT_SLACK_S
+        return now_s - self.last_received_s > longest_idle_s * IDLE_TIMEOUT_FACTOR
 
 
 class EdgeFront:
-    """Serves clients at one address."""
+    """The HTTP server for clients, at one address."""
 
     def __init__(self, forward: Forward, limits: Callable[[], Limits], process_end: ProcessEnd) -> None:
-        """`process_end`: planned by `stop`; what forwards the requests is bounded by it."""
+        """`stop` plans `process_end`, which also bounds the forwarding of requests."""
         self._loop = asyncio.get_running_loop()
         self._forward = forward
         self._limits = limits
         self._process_end = process_end
         self._draining = False
-        self._longest_idle_s = 0.0  # of all configurations that were in force
-        self._busy: set[object] = set()  # connections whose request is not answered yet
+        self._longest_idle_s = 0.0  # over all configurations that were in force
+        self._busy: set[object] = set()  # connections with a request that has not been answered
         self._web = web.Server(self._handle, handler_cancellation=True)
         self._listener: asyncio.Server | None = None
 
     async def start(self, address: str, opened: socket.socket | None = None) -> str:
-        """Serve at HOST:PORT, or at a socket that listens there; tells the address."""
+        """Serves at HOST:PORT, or on `opened`, a socket that listens there; returns the bound address."""
         self._listener = await _listen(self._connection, address, opened)
         return _bound_address(self._listener)
 
@@ -158,29 +158,29 @@
             access_log=None,  # type: ignore[arg-type]
             logger=_LOGGER,
             auto_decompress=False,
-            keepalive_timeout=IDLE_CLOSE_S,
+            keepalive_timeout=AIOHTTP_KEEPALIVE_S,
             max_line_size=DEFAULT_HEADER_BYTES,
             max_field_size=DEFAULT_HEADER_BYTES,
             lingering_time=1.0,
         )
 
     def begin_draining(self) -> None:
-        """Tell clients to close their connections after the next answer."""
+        """Closes each connection after its next answer, which contains `Connection: close`."""
         self._draining = True
 
     async def stop(self, grace_s: float) -> None:
-        """Take no new connections, answer every request that was read within `grace_s`, then end."""
+        """Accepts no new connections, answers the requests received within `grace_s` seconds, then ends."""
         if self._listener is not None:
             self._listener.close()
         deadline_s = self._loop.time() + grace_s
         self._process_end.plan(deadline_s)
         while self._web.connections and self._loop.time() < deadline_s:
             self._close_idle()
-            await asyncio.sleep(CLOSING_LOOK_S)
+            await asyncio.sleep(SHUTDOWN_POLL_S)
         await self._web.shutdown(0.1)
 
     def close_overdue(self) -> None:
-        """Close connections whose clients have taken, or rested, longer than the configuration allows."""
+        """Closes connections that exceed the configured header timeout or the longest idle timeout."""
         limits = self._limits()
         self._longest_idle_s = max(self._longest_idle_s, limits.idle_timeout_s or 0.0)
         if not self._longest_idle_s:
@@ -193,11 +193,14 @@
                 connection.force_close()
 
     def _close_idle(self) -> None:
-        """Close connections on which no request is under way, not even one that has just come."""
+        """Closes connections without a request in progress or currently being received."""
         now_s = self._loop.time()
         for connection in self._web.connections:
-            quiet = isinstance(connection, ClientConnection) and now_s - connection.received_s > QUIET_S
-            if quiet and connection not in self._busy:
+            is_idle = (
+                isinstance(connection, ClientConnection)
+                and now_s - connection.last_received_s > MIN_INPUT_PAUSE_S
+            )
+            if is_idle and connection not in self._busy:
                 connection.force_close()
 
     async def _handle(self, request: BaseRequest) -> web.StreamResponse:
@@ -214,7 +217,7 @@
 
     async def _serve(self, request: BaseRequest) -> web.StreamResponse:
         arrived_s = asyncio.get_running_loop().time()
-        refusal = self._too_large(request)
+        refusal = self._size_refusal(request)
         body = b"" if refusal else await self._read_body(request)
         if refusal is None and body is None:
             refusal = OwnAnswer(413, ResultCode.BODY_TOO_LARGE)
@@ -229,36 +232,40 @@
         assert answer.response is not None
         return answer.response
 
-    def _too_large(self, request: BaseRequest) -> OwnAnswer | None:
+    def _size_refusal(self, request: BaseRequest) -> OwnAnswer | None:
         limits = self._limits()
         head = sum(len(name) + len(value) + 4 for name, value in request._message.raw_headers)
         if limits.max_header_bytes is not None and head > limits.max_header_bytes:
             return OwnAnswer(431, ResultCode.HEADERS_TOO_LARGE)
-        most = limits.max_body_bytes
-        if most is not None and request.content_length is not None and request.content_length > most:
+        max_bytes = limits.max_body_bytes
+        if (
+            max_bytes is not None
+            and request.content_length is not None
+            and request.content_length > max_bytes
+        ):
             return OwnAnswer(413, ResultCode.BODY_TOO_LARGE)
         return None
 
     async def _read_body(self, request: BaseRequest) -> bytes | None:
-        """The whole body, or None if it is larger than the configuration allows."""
+        """Returns the complete body, or None if it is larger than the configuration allows."""
         if not request.body_exists:
             return b""
         expected = request.headers.get("Expect", "").lower() == "100-continue"
         if expected and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        most = self._limits().max_body_bytes or DEFAULT_BODY_BYTES
+        max_bytes = self._limits().max_body_bytes or DEFAULT_BODY_BYTES
         chunks = []
         size = 0
         while chunk := await request.content.readany():
             chunks.append(chunk)
             size += len(chunk)
-            if size > most:
+            if size > max_bytes:
                 return None
         return b"".join(chunks)
 
 
 def _may_have_trailers(request: BaseRequest) -> bool:
-    """Whether something came behind the body of a request that was read whole."""
+    """Returns whether something followed the body of a request that was read completely."""
     connection = request.protocol
     if not request._message.chunked or not isinstance(connection, ClientConnection):
         return False
@@ -277,7 +284,7 @@
 
 
 class ReadinessFront:
-    """Answers the platform's readiness probes."""
+    """The HTTP server for the platform's readiness probes: 200 while ready, else 503."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self._ready = ready
@@ -285,12 +292,12 @@
         self._listener: asyncio.Server | None = None
 
     async def start(self, address: str, opened: socket.socket | None = None) -> str:
-        """Serve at HOST:PORT, or at a socket that listens there; tells the address."""
+        """Serves at HOST:PORT, or on `opened`, a socket that listens there; returns the bound address."""
         self._listener = await _listen(self._web, address, opened)
         return _bound_address(self._listener)
 
     async def stop(self) -> None:
-        """Answer no more probes."""
+        """Stops answering probes."""
         if self._listener is not None:
             self._listener.close()
         await self._web.shutdown(0.1)
--- a/tests/system/test_edge_front.py
+++ b/tests/system/test_edge_front.py
@@ -103,7 +103,7 @@
         await client.send(request_bytes("/pay/1", "a1"))
         assert (await client.read()).status == 200
         await asyncio.sleep(0.02)
-        front_connection(edge).received_s -= rested_s
+        front_connection(edge).last_received_s -= rested_s
         edge.front.close_overdue()
         if closed:
             assert await client.reader.read() == b""
@@ -125,8 +125,8 @@
         await client.send(data[:20])
         await asyncio.sleep(0.05)
         connection = front_connection(edge)
-        assert connection.coming_since_s is not None
-        connection.coming_since_s -= taken_s
+        assert connection.head_started_s is not None
+        connection.head_started_s -= taken_s
         edge.front.close_overdue()
         if closed:
             assert await client.reader.read() == b""
@@ -149,7 +149,7 @@
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1"))
         await asyncio.sleep(0.05)
-        front_connection(edge).received_s -= 100
+        front_connection(edge).last_received_s -= 100
         edge.front.close_overdue()
         assert (await client.read()).status == 200
         await edge.stop()
@@ -171,9 +171,9 @@
         await asyncio.sleep(0.02)
         connection = front_connection(edge)
         # Then nothing is taken to be on its way
-        assert connection.coming_since_s is None
+        assert connection.head_started_s is None
         # And the connection may rest for longer than a head may take
-        connection.received_s -= 10
+        connection.last_received_s -= 10
         edge.front.close_overdue()
         await client.send(request_bytes("/pay/1", "a2"))
         assert (await client.read()).status == 200
