--- a/arrowfold/dataplane/node.py
+++ b/arrowfold/dataplane/node.py
@@ -1,4 +1,4 @@
-"""An edge node: all parts of the data plane put together, and its life from start to end."""
+"""The edge node: assembles the parts of the data plane and runs them from start to shutdown."""
 
 from __future__ import annotations
 
@@ -31,38 +31,38 @@
 from arrowfold.node.settings import NodeSettings
 from arrowfold.selection.interface import EngineFacts, WorkerSelector
 
-EARLY_REPORT_S = 0.005  # requests that find no model are told of this soon, several at once
-ROUND_S = 0.5  # between market rounds, reports of demand and looks at idle connections
-REPORTS_A_S = 100.0  # of demand, over all edges: in a large fleet each reports less often
-LONGEST_REPORT_PAUSE_S = 2.0
-PROBE_MISSES_S = 2.3  # after readiness ends until the platform sends no new connections
-END_MARGIN_S = 0.7  # of the grace time, left for the end itself
+MISSING_MODEL_REPORT_DELAY_S = 0.005  # collects requests whose model is missing into one report
+ROUND_S = 0.5  # between market rounds, which also check connections and demand reports
+MAX_REPORTS_PER_S = 100.0  # of demand, over all edges: in a large fleet each edge reports less often
+MAX_REPORT_INTERVAL_S = 2.0
+READINESS_PROPAGATION_S = 2.3  # from the end of readiness until the platform sends no new connections
+SHUTDOWN_MARGIN_S = 0.7  # part of the grace time reserved for the end of the process itself
 MS_PER_S = 1_000.0
-DEFAULT_CONNECTIONS = 64  # to one worker, where the configuration has no bound
+DEFAULT_CONNECTIONS_PER_WORKER = 64  # of all edges together, if the configuration has no bound
 
 
 @dataclass(frozen=True, slots=True)
-class _ConnectionSharers:
-    """What the shares of the workers' connections depend on."""
+class _ConnectionShareInputs:
+    """The inputs that the edge's shares of the workers' connections depend on."""
 
     configuration: int | None  # its position in the replicated state
     edges: int
     states: frozenset[tuple[str, str]]  # of the workers, by instance
 
     @classmethod
-    def of(cls, snapshot: FleetSnapshot, edges: int) -> _ConnectionSharers:
-        """Those of a snapshot."""
+    def from_snapshot(cls, snapshot: FleetSnapshot, edges: int) -> _ConnectionShareInputs:
+        """Returns the inputs of a snapshot."""
         configuration = snapshot.configuration
         states = frozenset((instance, record.state) for instance, record in snapshot.workers.items())
         return cls(configuration.sequence if configuration is not None else None, edges, states)
 
     def has_unresponsive(self) -> bool:
-        """Whether a worker is silent: connections to it that rest are dropped again and again."""
+        """Returns whether a worker is unresponsive: its idle connections are dropped at each update."""
         return any(state == UNRESPONSIVE for _, state in self.states)
 
 
 class EdgeNode:
-    """One edge process."""
+    """An edge node. Create it within the event loop that it runs in."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         self._log = log
         self._clock = loop.time
         self._stopping = False
-        self._configured = False
+        self._has_logged_ready = False
         bounds = settings.bounds
         self._budget = RetryBudget(
             bounds.retryBudgetRatio, bounds.budgetExtra, bounds.budgetWindowS, loop.time()
@@ -129,16 +129,16 @@
             self._client, identity, self._usage, lambda: self._tables.snapshot.view
         )
         self._stalled_exchanges = StalledExchangeWatch(self._connections, log)
-        self._facts_of: ConfigurationSnapshot | None = None  # whose facts the selector has
-        self._sharers: _ConnectionSharers | None = None  # between whom connections were last shared
+        self._engine_facts_source: ConfigurationSnapshot | None = None  # whose engine facts the selector has
+        self._share_inputs: _ConnectionShareInputs | None = None  # of the last computed shares
         self._tasks: list[asyncio.Task[None]] = []
-        self._overlay = PlacementOverlay()
-        self._reported_s = loop.time()
+        self._placement_overlay = PlacementOverlay()
+        self._last_report_s = loop.time()
         self._early_report: asyncio.Task[None] | None = None
-        self._forwarder.on_missing = self._report_missing
+        self._forwarder.on_missing = self._report_missing_model
 
     async def start(self) -> None:
-        """Serve, at the sockets that are open already or at new ones, and begin to pull."""
+        """Starts to serve, on the sockets that are already open or on new ones, and to pull."""
         addresses = self._settings.listenAddresses
         if addresses.readiness is not None:
             await self._readiness.start(addresses.readiness, self._listeners.get("readiness"))
@@ -149,36 +149,36 @@
             asyncio.create_task(self._run_rounds()),
             asyncio.create_task(self._stalled_exchanges.run()),
         ]
-        if self._owes_usage():
+        if self._has_usage_duty():
             self._tasks.append(asyncio.create_task(self._usage_reporter.run()))
 
     def is_ready(self) -> bool:
-        """Whether the platform should send new connections here."""
+        """Returns whether the platform should send new connections here."""
         return not self._stopping and self._tables.snapshot.configuration is not None
 
     def apply_settings(self, settings: NodeSettings) -> None:
-        """Take a settings file that changed."""
+        """Applies the seeds of a changed settings file."""
         self._puller.set_seeds(settings.seed_internal_addresses())
 
     async def stop(self, told_ago_s: float = 0.0) -> None:
-        """Leave without losing a request: not ready first, then no new connections, then the end.
+        """Shuts down without losing a request: first not ready, then no new connections, then the end.
 
-        `told_ago_s`: how much of the grace time has passed since the process was told to end.
+        `told_ago_s` is the part of the grace time, in seconds, that has passed since the stop signal.
         """
         if self._stopping:
             return
         self._stopping = True
         self._front.begin_draining()
-        await asyncio.sleep(PROBE_MISSES_S)
-        grace_s = self._settings.bounds.graceS - told_ago_s - PROBE_MISSES_S - END_MARGIN_S
+        await asyncio.sleep(READINESS_PROPAGATION_S)
+        grace_s = self._settings.bounds.graceS - told_ago_s - READINESS_PROPAGATION_S - SHUTDOWN_MARGIN_S
         await self._front.stop(max(0.0, grace_s))
-        if self._owes_usage():
+        if self._has_usage_duty():
             await self._usage_reporter.report(LAST_REPORT_TIMEOUT_S)
         self._puller.stop()
         for task in self._tasks:
             task.cancel()
 
-    def _owes_usage(self) -> bool:
+    def _has_usage_duty(self) -> bool:
         cloud = self._settings.cloudApi
         return cloud is not None and USAGE_DUTY in cloud.duties
 
@@ -189,29 +189,29 @@
     def _apply_tables(self) -> None:
         snapshot = self._tables.snapshot
         now_s = self._clock()
-        if snapshot.configuration is not None and not self._configured:
-            self._configured = True
+        if snapshot.configuration is not None and not self._has_logged_ready:
+            self._has_logged_ready = True
             self._log.info("ready", version=snapshot.configuration.version)
-        workers = self._workers_now(snapshot, now_s)
+        workers = self._corrected_workers(snapshot, now_s)
         self._selector.apply_workers(workers, now_s)
-        if snapshot.configuration is not self._facts_of:
-            self._facts_of = snapshot.configuration
+        if snapshot.configuration is not self._engine_facts_source:
+            self._engine_facts_source = snapshot.configuration
             self._selector.apply_engines(_engine_facts(snapshot))
         edges = snapshot.view.edges if snapshot.view is not None else 0
         if edges > 0:
             self._selector.apply_edges(edges)
             self._budget.apply_edges(edges, now_s)
-        shared = _ConnectionSharers.of(snapshot, max(1, edges))
-        if shared != self._sharers or shared.has_unresponsive():
-            self._sharers = shared
-            self._share_connections(shared.edges)
+        share_inputs = _ConnectionShareInputs.from_snapshot(snapshot, max(1, edges))
+        if share_inputs != self._share_inputs or share_inputs.has_unresponsive():
+            self._share_inputs = share_inputs
+            self._share_connections(share_inputs.edges)
         self._forwarder.workers_changed()
 
-    def _workers_now(self, snapshot: FleetSnapshot, now_s: float) -> tuple[WorkerRecord, ...]:
-        """The workers' records, as far as the owners of placements know better."""
+    def _corrected_workers(self, snapshot: FleetSnapshot, now_s: float) -> tuple[WorkerRecord, ...]:
+        """Returns the workers' records, with the corrections of the owners of placements."""
         if not self._options.placement_overlay:
             return tuple(snapshot.workers.values())
-        return self._overlay.corrected(snapshot.workers.values(), snapshot.placements, now_s)
+        return self._placement_overlay.corrected(snapshot.workers.values(), snapshot.placements, now_s)
 
     def _share_connections(self, edges: int) -> None:
         snapshot = self._tables.snapshot
@@ -221,8 +221,10 @@
             if not snapshot.may_send(instance):
                 continue
             service = services.get(record.service)
-            most = service.max_connections if service is not None else None
-            shares[instance] = max(FEWEST_CONNECTIONS, (most or DEFAULT_CONNECTIONS) // edges)
+            max_connections = service.max_connections if service is not None else None
+            shares[instance] = max(
+                FEWEST_CONNECTIONS, (max_connections or DEFAULT_CONNECTIONS_PER_WORKER) // edges
+            )
             if record.state == UNRESPONSIVE:
                 self._connections.drop_idle_of(instance)
         self._connections.set_shares(shares)
@@ -234,34 +236,34 @@
             self._selector.market_round(self._clock())
             self._connections.close_expired()
             self._front.close_overdue()
-            if self._overlay.has_expired(self._clock()):
+            if self._placement_overlay.has_expired(self._clock()):
                 self._apply_tables()
-            if self._clock() - self._reported_s >= self._report_pause_s():
+            if self._clock() - self._last_report_s >= self._report_interval_s():
                 await self._report_demand()
 
-    def _report_pause_s(self) -> float:
-        """How long after a report of demand the next regular one is due."""
+    def _report_interval_s(self) -> float:
+        """Returns the time in seconds between regular demand reports."""
         view = self._tables.snapshot.view
         edges = view.edges if view is not None else 0
-        return min(LONGEST_REPORT_PAUSE_S, edges / REPORTS_A_S)
+        return min(MAX_REPORT_INTERVAL_S, edges / MAX_REPORTS_PER_S)
 
     async def _report_demand(self) -> None:
         now_s = self._clock()
-        period_s, self._reported_s = now_s - self._reported_s, now_s
+        period_s, self._last_report_s = now_s - self._last_report_s, now_s
         await self._reporter.report(self._tables.snapshot.view, period_s, now_s)
 
-    def _report_missing(self) -> None:
-        """A request found no worker that holds its model: tell the owner of the placement at once."""
+    def _report_missing_model(self) -> None:
+        """Reports demand shortly, after a request found no worker that holds its model."""
         if self._early_report is None or self._early_report.done():
             self._early_report = asyncio.create_task(self._report_soon())
 
     async def _report_soon(self) -> None:
-        await asyncio.sleep(EARLY_REPORT_S)
+        await asyncio.sleep(MISSING_MODEL_REPORT_DELAY_S)
         await self._report_demand()
 
 
 def _engine_facts(snapshot: FleetSnapshot) -> tuple[EngineFacts, ...]:
-    """What the configuration in force tells of the services' engines."""
+    """Returns the engine facts of the services in the configuration in force."""
     if snapshot.configuration is None:
         return ()
     return tuple(
--- a/arrowfold/dataplane/placement_overlay.py
+++ b/arrowfold/dataplane/placement_overlay.py
@@ -29,9 +29,7 @@
 
     def __init__(self) -> None:
         self._tables: dict[str, tuple[PlacementTable, float]] = {}  # by service, with the time of receipt
-        self._first_seen: dict[
-            str, tuple[WorkerCorrection, float]
-        ] = {}  # by instance, with the time of receipt
+        self._first_seen: dict[str, tuple[WorkerCorrection, float]] = {}  # by instance, as above
         self._corrected: dict[str, _CorrectedRecord] = {}
 
     def corrected(
