--- a/arrowfold/dataplane/tables.py
+++ b/arrowfold/dataplane/tables.py
@@ -209,7 +209,7 @@
 def _after_delta(
     known: ConfigurationSnapshot | None, update: ConfigurationDelta
 ) -> ConfigurationSnapshot | None:
-    """Returns the configuration after a delta, `known` if that is newer, or None if the base differs."""
+    """Returns the configuration after a delta, `known` if that is newer, or None if it does not apply."""
     if known is None:
         return None
     if update.sequence <= known.sequence:
--- a/tests/system/test_edge_freshness.py
+++ b/tests/system/test_edge_freshness.py
@@ -1,4 +1,7 @@
-"""No edge serves a key that was taken away longer ago than allowed, in touch or not."""
+"""No edge serves a key that was removed longer ago than allowed, connected to the control nodes or not.
+
+The names in parentheses are those of the guarantees on the pages about tenants.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
 from tests.system.control_simulation.planted import planted
 from tests.system.control_simulation.schedules import run_schedule
 from tests.system.control_simulation.world import World, run_world
-from tests.system.test_edge_pulls import REVOKE_S, PullStory
+from tests.system.test_edge_pulls import REVOKE_S, PullScenario
 from tests.system.virtual_time import Repeating, run_virtual
 
-LOOK_S = 0.001
+CHECK_INTERVAL_S = 0.001
 
 
-class _KeyStory:
-    """Three core machines and an edge that has version 1, watched all the time."""
+class _RevocationScenario:
+    """Three control machines and an edge that has version 1 and is checked continuously."""
 
     def __init__(self, seed: int) -> None:
         self.world = World(seed)
@@ -28,38 +31,38 @@
         self.world.edges = [self.edge]
 
     async def begin(self) -> tuple[Machine, Machine]:
-        """The primary and a backup."""
+        """Starts everything and returns the primary and a backup."""
         world = self.world
         world.start_all()
         assert await world.change(0, 1, 9.0) == 1
         await world.until(world.is_whole, 6.0, "a whole group")
         self.edge.start()
         await world.until(self.edge.serves_keys, 2.0, "an edge that serves keys")
-        Repeating(LOOK_S, world.check_keys)
+        Repeating(CHECK_INTERVAL_S, world.check_keys)
         primary = await world.until_primary()
         return primary, next(machine for machine in world.machines.values() if machine is not primary)
 
-    def reaches_only(self, only: Machine) -> None:
-        """Cut the edge off from all machines but one."""
+    def isolate_edge_with(self, only: Machine) -> None:
+        """Partitions the edge from all machines but one."""
         for machine in self.world.machines.values():
             if machine is not only:
                 self.world.network.cut(self.edge.address, machine.address)
 
-    def cut_off(self, machine: Machine) -> None:
-        """Cut a machine off from the other machines."""
+    def isolate_machine(self, machine: Machine) -> None:
+        """Partitions a machine from the other machines."""
         for other in self.world.machines.values():
             if other is not machine:
                 self.world.network.cut(machine.address, other.address)
                 self.world.network.cut(other.address, machine.address)
 
     async def acknowledge_changes(self, avoiding: Machine) -> None:
-        """Two changes are acknowledged elsewhere, and 12 s pass."""
+        """Waits until two changes are acknowledged elsewhere, and another 12 s."""
         for version in (2, 3):
             assert await self.world.change(version - 1, version, 9.0, avoiding=avoiding) == version
         await asyncio.sleep(12.0)
 
     async def heal(self) -> None:
-        """All trouble ends: keys are served again, by the newest version."""
+        """Ends all faults and requires that keys are served again, by the newest version."""
         self.world.network.heal()
         await self.world.settle()
         world = self.world
@@ -67,80 +70,82 @@
         world.require_sound()
 
 
-async def _no_word() -> None:
-    pulls = PullStory()
+async def _control_hangs() -> None:
+    pulls = PullScenario()
     await pulls.settle()
     assert pulls.freshness.is_fresh()
-    for control in pulls.controls.nodes.values():
+    for control in pulls.channel.nodes.values():
         control.hangs = True
     await asyncio.sleep(REVOKE_S)
     assert not pulls.freshness.is_fresh()
     pulls.puller.stop()
 
 
-# Guards against: keys served for the whole of a cut, by the configuration from before it (CONFIG).
+# Guards against: during a partition, keys are served by the configuration from before it (CONFIG).
 def test_given_no_word_of_control_for_long_then_no_key_is_served() -> None:
-    run_virtual(_no_word())
+    run_virtual(_control_hangs())
 
 
 async def _edge_frozen() -> None:
-    stage = _KeyStory(71)
-    primary, _ = await stage.begin()
-    stage.edge.freeze()
-    await stage.acknowledge_changes(avoiding=primary)
-    stage.edge.thaw()
+    scenario = _RevocationScenario(71)
+    primary, _ = await scenario.begin()
+    scenario.edge.freeze()
+    await scenario.acknowledge_changes(avoiding=primary)
+    scenario.edge.thaw()
     await asyncio.sleep(3.0)
-    await stage.heal()
+    await scenario.heal()
 
 
-# Guards against: a key taken away meanwhile is served between an edge's wake-up and its next answer (CONFIG).
+# Guards against: a removed key is served between an edge's resumption and the next pull response (CONFIG).
 def test_given_an_edge_that_was_frozen_then_an_answer_from_before_lets_it_serve_no_key() -> None:
     run_world(_edge_frozen())
 
 
 async def _backup_cut_off() -> None:
-    stage = _KeyStory(72)
-    _, backup = await stage.begin()
-    stage.reaches_only(backup)
-    stage.cut_off(backup)
-    await stage.acknowledge_changes(avoiding=backup)
-    await stage.heal()
+    scenario = _RevocationScenario(72)
+    _, backup = await scenario.begin()
+    scenario.isolate_edge_with(backup)
+    scenario.isolate_machine(backup)
+    await scenario.acknowledge_changes(avoiding=backup)
+    await scenario.heal()
 
 
-# Guards against: a backup behind a cut vouches for the configuration that it had before (CONFIG).
+# Guards against: a partitioned backup confirms the configuration from before the partition (CONFIG).
 def test_given_a_backup_cut_off_from_the_primary_then_its_edges_serve_no_key_for_long() -> None:
     run_world(_backup_cut_off())
 
 
-async def _last_word_of_a_backup() -> None:
-    """An edge begins at a backup right before that can't vouch for its state any longer."""
-    stage = _KeyStory(74)
-    _, backup = await stage.begin()
-    stage.reaches_only(backup)
-    stage.cut_off(backup)
-    changes = asyncio.create_task(stage.acknowledge_changes(avoiding=backup))
+async def _last_response_of_a_backup() -> None:
+    """An edge starts right before its only backup can no longer confirm how recent its state is."""
+    scenario = _RevocationScenario(74)
+    _, backup = await scenario.begin()
+    scenario.isolate_edge_with(backup)
+    scenario.isolate_machine(backup)
+    changes = asyncio.create_task(scenario.acknowledge_changes(avoiding=backup))
     await asyncio.sleep(backup.timings.current_s - 0.2)
-    stage.edge.start()
+    scenario.edge.start()
     await changes
-    await stage.heal()
+    await scenario.heal()
 
 
-# Guards against: an edge counts a backup's last word as if the primary had just spoken (CONFIG).
-def test_given_a_backup_cut_off_from_the_primary_then_its_last_word_counts_from_the_primarys() -> None:
-    run_world(_last_word_of_a_backup())
+# Guards against: a backup's last response counts as if the primary had just sent a heartbeat (CONFIG).
+def test_given_a_backup_cut_off_from_the_primary_then_its_last_response_counts_from_the_primarys_last() -> (
+    None
+):
+    run_world(_last_response_of_a_backup())
 
 
-async def _newer_state_told() -> None:
-    pulls = PullStory()
+async def _newer_state_announced() -> None:
+    pulls = PullScenario()
     await pulls.settle()
-    for control in pulls.controls.nodes.values():
+    for control in pulls.channel.nodes.values():
         control.notices_only = True
-    await asyncio.sleep(2.0)  # until the pulls that were open have been answered
+    await asyncio.sleep(2.0)  # until the open pulls have been answered
     pulls.commit(2)
     await asyncio.sleep(REVOKE_S)
     assert pulls.version() == 1
     assert not pulls.freshness.is_fresh()
-    for control in pulls.controls.nodes.values():
+    for control in pulls.channel.nodes.values():
         control.notices_only = False
     await asyncio.sleep(3.0)
     assert pulls.version() == 2
@@ -148,43 +153,43 @@
     pulls.puller.stop()
 
 
-# Guards against: an edge that hears of a change, and can't get it, counts as up to date (CONFIG).
+# Guards against: an edge that receives notices of a change but not the change counts as up to date (CONFIG).
 def test_given_an_answer_that_tells_of_a_newer_state_then_it_counts_only_once_that_state_is_held() -> None:
-    run_virtual(_newer_state_told())
+    run_virtual(_newer_state_announced())
 
 
 async def _control_node_frozen(role: str) -> None:
-    stage = _KeyStory(73)
-    primary, backup = await stage.begin()
+    scenario = _RevocationScenario(73)
+    primary, backup = await scenario.begin()
     frozen = primary if role == "primary" else backup
-    stage.reaches_only(frozen)
+    scenario.isolate_edge_with(frozen)
     frozen.freeze()
-    await stage.acknowledge_changes(avoiding=frozen)
+    await scenario.acknowledge_changes(avoiding=frozen)
     frozen.thaw()
     await asyncio.sleep(4.0)
-    await stage.heal()
+    await scenario.heal()
 
 
-# Guards against: a control node that stood still vouches, as it wakes, for what it had before (CONFIG).
+# Guards against: a control node confirms, right after a suspension, the state from before it (CONFIG).
 @pytest.mark.parametrize("role", ["primary", "backup"])
 def test_given_a_control_node_that_was_frozen_then_it_vouches_for_nothing_old(role: str) -> None:
     run_world(_control_node_frozen(role))
 
 
 def test_given_no_bound_on_removed_keys_then_they_are_always_served() -> None:
-    async def story() -> None:
-        pulls = PullStory(revoke_s=None)
+    async def run_scenario() -> None:
+        pulls = PullScenario(revoke_s=None)
         await pulls.settle()
-        for control in pulls.controls.nodes.values():
+        for control in pulls.channel.nodes.values():
             control.hangs = True
         await asyncio.sleep(60.0)
         assert pulls.freshness.is_fresh()
         pulls.puller.stop()
 
-    run_virtual(story())
+    run_virtual(run_scenario())
 
 
-def test_given_a_process_that_stands_still_then_the_lease_ends_by_the_steady_clock() -> None:
+def test_given_a_suspended_process_then_the_lease_ends_by_the_monotonic_clock() -> None:
     now_s = 100.0
     freshness = StateFreshness(REVOKE_S, lambda: now_s)
     assert not freshness.is_fresh()
@@ -194,7 +199,7 @@
     assert freshness.is_fresh()
     now_s += 0.02
     assert not freshness.is_fresh()
-    # And a later answer that tells of an older state takes nothing back
+    # And a later response with an older state does not shorten the lease
     freshness.answered(freshness.asked(), 0.0)
     freshness.answered(freshness.asked(), 4.0)
     now_s += 4.0
@@ -204,14 +209,14 @@
 GUARDED: dict[str, Callable[[], None]] = {
     "fresh from the answer on": lambda: run_world(_edge_frozen()),
     "a backup vouches for ever": lambda: run_world(_backup_cut_off()),
-    "a backup of no age": lambda: run_world(_last_word_of_a_backup()),
+    "a backup of no age": lambda: run_world(_last_response_of_a_backup()),
     "a primary vouches without lease": lambda: run_world(_control_node_frozen("primary")),
-    "told is held": lambda: run_virtual(_newer_state_told()),
+    "told is held": lambda: run_virtual(_newer_state_announced()),
 }
 
 
 @pytest.mark.parametrize("fault", GUARDED)
-def test_given_a_guard_taken_out_then_its_story_fails(fault: str) -> None:
+def test_given_a_removed_guard_then_its_scenario_fails(fault: str) -> None:
     with planted(fault), pytest.raises(AssertionError):
         GUARDED[fault]()
 
@@ -219,7 +224,7 @@
 @pytest.mark.parametrize(
     ("fault", "seed"), [("fresh from the answer on", 6), ("a backup vouches for ever", 60)]
 )
-def test_given_a_guard_taken_out_then_a_random_schedule_finds_it(fault: str, seed: int) -> None:
+def test_given_a_removed_guard_then_a_random_schedule_finds_it(fault: str, seed: int) -> None:
     with planted(fault):
         outcome = run_schedule(seed)
     assert outcome.violation is not None
--- a/tests/system/test_edge_pulls.py
+++ b/tests/system/test_edge_pulls.py
@@ -1,4 +1,4 @@
-"""Stories about an edge's pulls: which control node sends updates, and what when one hangs or is cut off."""
+"""An edge's pulls: which control node sends updates, also when one of them hangs, lags or is not current."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 @dataclass(slots=True)
-class Control:
-    """A scripted control node: its committed position, and how it behaves."""
+class ScriptedControl:
+    """A scripted control node: its committed position and its behaviour."""
 
     sequence: int = 0
     current: bool = True
     hangs: bool = False
-    notices_only: bool = False  # it answers nothing else
+    notices_only: bool = False  # it answers no pull for updates
     state_age_s: float | None = 0.0
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
@@ -49,11 +49,13 @@
 
 
 @dataclass(slots=True)
-class Controls:
+class ScriptedChannel:
     """The channel to three scripted control nodes."""
 
-    nodes: dict[str, Control] = field(default_factory=lambda: {address: Control() for address in ZONES})
-    full: list[tuple[float, str]] = field(default_factory=list)
+    nodes: dict[str, ScriptedControl] = field(
+        default_factory=lambda: {address: ScriptedControl() for address in ZONES}
+    )
+    full_responses: list[tuple[float, str]] = field(default_factory=list)
     calls: int = 0
 
     async def call(self, address: str, request: PullRequest, timeout_s: float) -> Result[Any, ChannelError]:
@@ -64,7 +66,7 @@
         except TimeoutError:
             return Err(ChannelError("no answer"))
 
-    async def _answer(self, node: Control, address: str, request: PullRequest) -> PullResponse:
+    async def _answer(self, node: ScriptedControl, address: str, request: PullRequest) -> PullResponse:
         await asyncio.sleep(ROUND_TRIP_S)
         if node.notices_only and not request.notice_only:
             await asyncio.Event().wait()
@@ -80,7 +82,7 @@
                 pass
         updates: tuple[ConfigurationUpdate, ...] = ()
         if not request.notice_only and node.sequence > request.vector.get(STATE_ORIGIN, 0):
-            self.full.append((asyncio.get_running_loop().time(), address))
+            self.full_responses.append((asyncio.get_running_loop().time(), address))
             document = json.dumps(configuration(ROUTES, version=node.sequence)).encode()
             updates = (ConfigurationUpdate(node.sequence, node.sequence, document),)
         members = tuple(MemberInfo(a, a, a, a, zone) for a, zone in ZONES.items())
@@ -89,18 +91,18 @@
         return PullResponse(node.current, view, vector, updates, node.state_age_s)
 
 
-class PullStory:
+class PullScenario:
     """An edge in zone z2 that pulls from the scripted control nodes."""
 
     def __init__(
         self, seeds: tuple[str, ...] = ("a:1", "b:1", "c:1"), revoke_s: float | None = REVOKE_S
     ) -> None:
-        self.controls = Controls()
+        self.channel = ScriptedChannel()
         self.freshness = StateFreshness(revoke_s, asyncio.get_running_loop().time)
         self.tables = FleetTables()
         identity = NodeIdentity("edge", "e1", "z2", "e:1", ("edge",))
         self.puller = ControlPuller(
-            self.controls,  # type: ignore[arg-type]
+            self.channel,  # type: ignore[arg-type]
             self.tables,
             identity,
             seeds,
@@ -111,64 +113,64 @@
         self.puller.start()
 
     def commit(self, sequence: int, *addresses: str) -> None:
-        """Let these nodes (all, if none is named) learn of a committed change."""
+        """Applies a committed change at these nodes, or at all if none is named."""
         for address in addresses or ZONES:
-            self.controls.nodes[address].commit(sequence)
+            self.channel.nodes[address].commit(sequence)
 
     def version(self) -> int:
         known = self.tables.snapshot.configuration
         return known.version if known is not None else 0
 
     async def settle(self) -> None:
-        """Let a first configuration come, and the pulls take their roles."""
+        """Commits the first configuration and waits until the pulls have settled."""
         self.commit(1)
         await asyncio.sleep(3.0)
         assert self.version() == 1
-        self.controls.full.clear()
+        self.channel.full_responses.clear()
 
 
-def test_updates_come_once_and_from_the_node_of_this_zone() -> None:
-    async def story() -> None:
-        pulls = PullStory()
+def test_updates_are_sent_once_and_by_the_node_of_this_zone() -> None:
+    async def run_scenario() -> None:
+        pulls = PullScenario()
         await pulls.settle()
         pulls.commit(2)
         await asyncio.sleep(1.0)
         assert pulls.version() == 2
-        assert [address for _, address in pulls.controls.full] == ["b:1"]
+        assert [address for _, address in pulls.channel.full_responses] == ["b:1"]
         pulls.puller.stop()
 
-    run_virtual(story())
+    run_virtual(run_scenario())
 
 
 def test_one_seed_is_enough_to_find_the_others() -> None:
-    async def story() -> None:
-        pulls = PullStory(seeds=("a:1",))
+    async def run_scenario() -> None:
+        pulls = PullScenario(seeds=("a:1",))
         await pulls.settle()
-        pulls.controls.nodes["a:1"].hangs = True
+        pulls.channel.nodes["a:1"].hangs = True
         pulls.commit(2, "b:1")
         await asyncio.sleep(0.2)
         assert pulls.version() == 2
         pulls.puller.stop()
 
-    run_virtual(story())
+    run_virtual(run_scenario())
 
 
 def test_a_node_that_hangs_delays_a_change_by_less_than_half_a_second() -> None:
-    async def story() -> None:
-        pulls = PullStory()
+    async def run_scenario() -> None:
+        pulls = PullScenario()
         await pulls.settle()
-        pulls.controls.nodes["b:1"].hangs = True
+        pulls.channel.nodes["b:1"].hangs = True
         pulls.commit(2, "a:1", "c:1")
         await asyncio.sleep(0.45)
         assert pulls.version() == 2
         pulls.puller.stop()
 
-    run_virtual(story())
+    run_virtual(run_scenario())
 
 
 def test_a_node_that_lags_behind_the_others_delays_nothing() -> None:
-    async def story() -> None:
-        pulls = PullStory()
+    async def run_scenario() -> None:
+        pulls = PullScenario()
         await pulls.settle()
         for sequence in range(2, 12):
             pulls.commit(sequence, "c:1")
@@ -176,31 +178,31 @@
             assert pulls.version() == sequence
         pulls.puller.stop()
 
-    run_virtual(story())
+    run_virtual(run_scenario())
 
 
-def test_a_node_that_is_not_current_gives_way_to_one_that_is() -> None:
-    async def story() -> None:
-        pulls = PullStory()
+def test_a_node_that_is_not_current_is_replaced_by_one_that_is() -> None:
+    async def run_scenario() -> None:
+        pulls = PullScenario()
         await pulls.settle()
-        pulls.controls.nodes["b:1"].current = False
+        pulls.channel.nodes["b:1"].current = False
         await asyncio.sleep(3.0)
         pulls.commit(2, "a:1", "c:1")
         await asyncio.sleep(0.1)
         assert pulls.version() == 2
-        assert {address for _, address in pulls.controls.full} == {"a:1"}
+        assert {address for _, address in pulls.channel.full_responses} == {"a:1"}
         pulls.puller.stop()
 
-    run_virtual(story())
+    run_virtual(run_scenario())
 
 
-def test_calm_pulls_are_few() -> None:
-    async def story() -> None:
-        pulls = PullStory()
+def test_few_pulls_are_sent_without_changes() -> None:
+    async def run_scenario() -> None:
+        pulls = PullScenario()
         await pulls.settle()
-        before = pulls.controls.calls
+        before = pulls.channel.calls
         await asyncio.sleep(10.0)
-        assert pulls.controls.calls - before <= 30
+        assert pulls.channel.calls - before <= 30
         pulls.puller.stop()
 
-    run_virtual(story())
+    run_virtual(run_scenario())
