--- a/tests/system/test_edge_front.py
+++ b/tests/system/test_edge_front.py
@@ -1,4 +1,4 @@
-"""The clients' connections of an edge: limits of time, and the end of the process, on loopback."""
+"""The clients' connections of an edge on loopback: timeouts, draining and shutdown."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 )
 
 
-def test_after_draining_begins_answers_tell_clients_to_close() -> None:
-    async def story() -> None:
+def test_answers_after_the_begin_of_draining_close_their_connections() -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(plain)
         assert edge.front is not None
         client = await edge.client()
@@ -28,12 +28,12 @@
         edge.front.begin_draining()
         await client.send(request_bytes("/pay/1", "a2"))
         assert field_of((await client.read()).head, b"connection") == b"close"
-        newcomer = await edge.client()
-        await newcomer.send(request_bytes("/pay/1", "a3"))
-        assert (await newcomer.read()).status == 200
+        new_client = await edge.client()
+        await new_client.send(request_bytes("/pay/1", "a3"))
+        assert (await new_client.read()).status == 200
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
 def test_stopping_waits_for_requests_in_flight() -> None:
@@ -41,7 +41,7 @@
         await asyncio.sleep(0.3)
         await exchange.answer()
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(slow)
         assert edge.front is not None
         client = await edge.client()
@@ -53,11 +53,11 @@
         await stopping
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_stopping_closes_connections_that_rest() -> None:
-    async def story() -> None:
+def test_stopping_closes_idle_connections() -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(plain)
         assert edge.front is not None
         client = await edge.client()
@@ -66,11 +66,11 @@
         await edge.front.stop(5.0)
         assert await client.reader.read() == b""
 
-    play(story)
+    play(scenario)
 
 
-def test_a_request_that_comes_while_the_front_ends_is_answered() -> None:
-    async def story() -> None:
+def test_a_request_that_arrives_while_the_front_stops_is_answered() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain)
         assert edge.front is not None
         client = await edge.client()
@@ -84,7 +84,7 @@
         await stopping
         assert len(worker.heads) == 1
 
-    play(story)
+    play(scenario)
 
 
 def front_connection(edge: LoopbackEdge) -> ClientConnection:
@@ -94,16 +94,16 @@
     return connection
 
 
-@pytest.mark.parametrize(("rested_s", "closed"), [(14.9, False), (18.0, False), (19.0, True)])
-def test_a_connection_may_rest_as_long_as_the_configuration_allows(rested_s: float, closed: bool) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize(("idle_s", "closed"), [(14.9, False), (18.0, False), (19.0, True)])
+def test_a_connection_may_be_idle_as_long_as_the_configuration_allows(idle_s: float, closed: bool) -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(plain, idleTimeoutMs=15000, headerTimeoutMs=3000)
         assert edge.front is not None
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1"))
         assert (await client.read()).status == 200
         await asyncio.sleep(0.02)
-        front_connection(edge).last_received_s -= rested_s
+        front_connection(edge).last_received_s -= idle_s
         edge.front.close_overdue()
         if closed:
             assert await client.reader.read() == b""
@@ -112,12 +112,12 @@
             assert (await client.read()).status == 200
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize(("taken_s", "closed"), [(3.0, False), (4.0, True)])
-def test_a_head_must_come_within_its_time(taken_s: float, closed: bool) -> None:
-    async def story() -> None:
+def test_a_head_must_arrive_within_the_header_timeout(taken_s: float, closed: bool) -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(plain, idleTimeoutMs=15000, headerTimeoutMs=3000)
         assert edge.front is not None
         client = await edge.client()
@@ -135,15 +135,15 @@
             assert (await client.read()).status == 200
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_request_under_way_is_never_overdue() -> None:
+def test_a_connection_with_an_active_request_is_never_overdue() -> None:
     async def slow(exchange: RawExchange) -> None:
         await asyncio.sleep(0.2)
         await exchange.answer()
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(slow, idleTimeoutMs=15000, headerTimeoutMs=3000)
         assert edge.front is not None
         client = await edge.client()
@@ -154,12 +154,12 @@
         assert (await client.read()).status == 200
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_body_that_comes_after_its_head_is_not_the_head_of_a_next_request() -> None:
-    async def story() -> None:
-        # Given a request whose body comes by itself, and its answer
+def test_a_body_that_arrives_after_its_head_is_not_the_head_of_a_next_request() -> None:
+    async def scenario() -> None:
+        # Given a request whose body arrives apart from its head, and its answer
         edge, _ = await edge_with(plain, idleTimeoutMs=15000, headerTimeoutMs=3000)
         assert edge.front is not None
         client = await edge.client()
@@ -170,13 +170,13 @@
         assert (await client.read()).status == 200
         await asyncio.sleep(0.02)
         connection = front_connection(edge)
-        # Then nothing is taken to be on its way
+        # Then no further request counts as started
         assert connection.head_started_s is None
-        # And the connection may rest for longer than a head may take
+        # And the connection may be idle for longer than the header timeout
         connection.last_received_s -= 10
         edge.front.close_overdue()
         await client.send(request_bytes("/pay/1", "a2"))
         assert (await client.read()).status == 200
         await edge.stop()
 
-    play(story)
+    play(scenario)
--- a/tests/system/test_edge_listeners.py
+++ b/tests/system/test_edge_listeners.py
@@ -1,4 +1,4 @@
-"""Sockets that listen before the program is loaded: connections wait instead of being reset."""
+"""Sockets that listen before the program is loaded, so that early connections wait and are not reset."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     return str(path)
 
 
-def test_a_request_that_comes_before_the_program_serves_is_answered_by_it(tmp_path: Path) -> None:
+def test_a_request_that_arrives_before_the_program_serves_is_answered_by_it(tmp_path: Path) -> None:
     async def plain(exchange: RawExchange) -> None:
         await exchange.answer()
 
-    async def story() -> None:
+    async def scenario() -> None:
         opened = open_listeners(settings_file(tmp_path, 'front = "127.0.0.1:0"'))
         host, port = opened["front"].getsockname()
         client = await RawClient.connect(f"{host}:{port}")
@@ -31,14 +31,14 @@
         assert (await client.read()).status == 200
         await edge.stop()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_what_cannot_be_bound_is_left_out(tmp_path: Path) -> None:
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        port = taken.getsockname()[1]
+def test_addresses_that_cannot_be_bound_are_skipped(tmp_path: Path) -> None:
+    with socket.socket() as blocker:
+        blocker.bind(("127.0.0.1", 0))
+        blocker.listen()
+        port = blocker.getsockname()[1]
         path = settings_file(
             tmp_path, f'front = "127.0.0.1:{port}"\nreadiness = "127.0.0.1:0"\nother = "x:y"'
         )
@@ -47,7 +47,7 @@
         opened["readiness"].close()
 
 
-def test_settings_that_cannot_be_read_open_nothing(tmp_path: Path) -> None:
+def test_unreadable_settings_open_no_sockets(tmp_path: Path) -> None:
     broken = tmp_path / "broken.toml"
     broken.write_text("listenAddresses = [", encoding="utf-8")
     assert open_listeners(str(broken)) == {}
--- a/tests/system/test_edge_loading.py
+++ b/tests/system/test_edge_loading.py
@@ -1,4 +1,4 @@
-"""An edge that is told to end while it still loads, as a real process."""
+"""An edge process that receives SIGTERM while it is still loading."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
     return True
 
 
-def test_given_a_request_to_an_edge_that_loads_when_it_is_told_to_end_then_it_is_answered(
+def test_given_an_edge_terminated_while_it_loads_then_a_waiting_request_is_answered(
     tmp_path: Path,
 ) -> None:
     system = LocalSystem(tmp_path, 1)
     edge = system.edges[0]
     try:
-        # Given an edge that listens already and still loads, and a request to it
+        # Given an edge that already listens but is still loading, and a request to it
         system.start(edge)
         assert edge.process is not None
         eventually(lambda: _listens(system, edge))
         with socket.create_connection((edge.host, system.ports.front), timeout=LONG) as client:
             client.sendall(request_bytes("/chat/x", "a1"))
-            # When it is told to end
+            # When it receives SIGTERM
             edge.process.terminate()
-            # Then the request is answered, if only by a refusal, and the process ends in order
+            # Then the request is answered, possibly with a refusal, and the process exits normally
             assert client.recv(64).startswith(b"HTTP/1.1 ")
         assert edge.process.wait(LONG) == 0
     finally:
--- a/tests/system/test_edge_tables.py
+++ b/tests/system/test_edge_tables.py
@@ -1,4 +1,4 @@
-"""What an edge knows never goes back, in whatever order and however often control nodes tell it."""
+"""The edge's tables never regress, in whatever order and however often updates arrive."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class TablesMachine(RuleBasedStateMachine):
-    """Tells an edge of configurations, workers and departures in any order."""
+    """Applies configurations, workers and departures in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,14 +44,14 @@
         self.calls: dict[str, int] = {}
 
     @rule(sequence=st.integers(1, 30), current=st.booleans())
-    def tell_configuration(self, sequence: int, current: bool) -> None:
+    def receive_configuration(self, sequence: int, current: bool) -> None:
         update = configuration_update(configuration(ROUTES, version=sequence), sequence)
         self.tables.take(response(update, current=current, state=sequence))
         if current or self.newest:
             self.newest = max(self.newest, sequence)
 
     @rule(instance=st.sampled_from(INSTANCES), state=st.sampled_from(STATES), call=st.integers(1, 9))
-    def tell_worker(self, instance: str, state: str, call: int) -> None:
+    def receive_worker(self, instance: str, state: str, call: int) -> None:
         self.tables.take(response(WorkerUpdate("o", 1, worker(instance, "cards", state, call))))
         if call >= self.calls.get(instance, 0):
             self.calls[instance] = call
@@ -61,7 +61,7 @@
                 self.gone.add(instance)
 
     @rule(instance=st.sampled_from(INSTANCES), state=st.sampled_from(("draining", "gone")))
-    def tell_departure(self, instance: str, state: str) -> None:
+    def receive_departure(self, instance: str, state: str) -> None:
         self.tables.take(response(DepartureUpdate(1, instance, state)))
         self.departed.add(instance)
         if state == "gone":
@@ -73,7 +73,7 @@
         assert (known.sequence if known is not None else 0) == self.newest
 
     @invariant()
-    def what_has_departed_gets_nothing(self) -> None:
+    def departed_workers_receive_no_requests(self) -> None:
         assert not any(self.tables.snapshot.may_send(instance) for instance in self.departed)
         assert not self.gone & set(self.tables.snapshot.workers)
 
@@ -82,16 +82,16 @@
 TestTables.settings = settings(max_examples=60, stateful_step_count=25, deadline=None)
 
 
-def known_tables() -> FleetTables:
+def tables_at_version_3() -> FleetTables:
     tables = FleetTables()
     tables.take(response(configuration_update(configuration(ROUTES, version=3), 3), state=3))
     return tables
 
 
-def test_a_change_that_follows_is_applied() -> None:
-    tables = known_tables()
-    fresh = route("new", "/new/", "cards", "idempotent")
-    patch = b'{"version":5,"upsert":{"routes":[%s]},"remove":{"routes":["pay"]}}' % _json(fresh)
+def test_a_delta_on_the_known_version_is_applied() -> None:
+    tables = tables_at_version_3()
+    new_route = route("new", "/new/", "cards", "idempotent")
+    patch = b'{"version":5,"upsert":{"routes":[%s]},"remove":{"routes":["pay"]}}' % _json(new_route)
     tables.take(response(ConfigurationDelta(4, 3, 5, patch), state=4))
     known = tables.snapshot.configuration
     assert known is not None and (known.sequence, known.version) == (4, 5)
@@ -99,8 +99,8 @@
     assert known.routes.match("shop.example", "/pay/1") is None
 
 
-def test_a_change_that_does_not_follow_asks_for_the_whole() -> None:
-    tables = known_tables()
+def test_a_delta_on_another_version_requests_the_full_document() -> None:
+    tables = tables_at_version_3()
     assert tables.vector[STATE_ORIGIN] == 3
     tables.take(response(ConfigurationDelta(6, 5, 7, b'{"version":7}'), state=6))
     known = tables.snapshot.configuration
@@ -116,22 +116,22 @@
 
 
 @given(st.data())
-def test_events_are_whole_however_the_bytes_are_cut(data: st.DataObject) -> None:
+def test_events_are_complete_however_the_bytes_are_split(data: st.DataObject) -> None:
     ends = data.draw(st.lists(st.sampled_from([b"\n\n", b"\r\n\r\n"]), min_size=1, max_size=6))
     raw = [b"id: %d\ndata: x%d" % (number, number) + end for number, end in enumerate(ends)]
     stream = b"".join(raw) + b"id: 99\nda"
-    cuts = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
+    splits = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=8)))
     splitter = EventSplitter()
     events = []
-    for start, end in zip([0, *cuts], [*cuts, len(stream)], strict=True):
+    for start, end in zip([0, *splits], [*splits, len(stream)], strict=True):
         events.extend(splitter.feed(stream[start:end]))
     assert [event.data for event in events] == raw
     assert [event.identity for event in events] == list(range(len(raw)))
     assert splitter.pending == b"id: 99\nda"
 
 
-# Guards against keys in an edge's memory, which an operator could find in a dump of it.
-def test_given_a_control_node_that_tells_keys_then_the_edge_holds_none() -> None:
+# Guards against keys in an edge's memory, which would be readable in a memory dump.
+def test_given_a_control_node_that_sends_keys_then_the_edge_stores_none() -> None:
     tables = FleetTables()
     document = configuration(ROUTES, version=3) | {"tenants": [tenant("acme", "marked-1"), tenant("b")]}
     tables.take(response(configuration_update(document, 3), state=3))
@@ -147,7 +147,7 @@
     ]
 
 
-def test_given_a_key_taken_away_by_a_change_then_the_edge_finds_it_no_more() -> None:
+def test_given_a_key_removed_by_a_delta_then_the_edge_no_longer_finds_it() -> None:
     tables = FleetTables()
     document = configuration(ROUTES, version=3) | {"tenants": [tenant("acme", "k1", "k2")]}
     tables.take(response(configuration_update(document, 3), state=3))
--- a/tests/system/test_edge_unknown_keys.py
+++ b/tests/system/test_edge_unknown_keys.py
@@ -1,4 +1,7 @@
-"""A key that no configuration holds never runs anything at a worker."""
+"""A request with a key that is in no configuration never runs at a worker.
+
+ROUTE is the name of the guarantee on the pages about tenants.
+"""
 
 from __future__ import annotations
 
@@ -23,26 +26,26 @@
 PUBLIC = route("open", "/open/", "cards", "idempotent", publicAccess=True)
 
 
-async def _ask(path: str, *headers: tuple[bytes, bytes]) -> tuple[RecordedAnswer, list[str]]:
-    """What a client gets, and the workers that ran its request, where a tenant holds KNOWN_KEY."""
-    story = EdgeStory(ROUTES, (worker("w1", "cards"),))
-    story.workers.scripts["w1"] = answers(whole())
+async def _send_request(path: str, *headers: tuple[bytes, bytes]) -> tuple[RecordedAnswer, list[str]]:
+    """Returns a request's answer and the workers that ran it; a tenant with KNOWN_KEY is configured."""
+    edge = EdgeStory(ROUTES, (worker("w1", "cards"),))
+    edge.workers.scripts["w1"] = answers(whole())
     with_tenants = configuration([*ROUTES, PUBLIC], 2) | {"tenants": [tenant("acme", KNOWN_KEY)]}
-    story.tell(configuration_update(with_tenants, 2), state=2)
-    return await story.ask(path, *headers), story.workers.receivers()
+    edge.tell(configuration_update(with_tenants, 2), state=2)
+    return await edge.ask(path, *headers), edge.workers.receivers()
 
 
-# Guards against ROUTE: a request ran with a key that no configuration ever held.
+# Guards against ROUTE: a request ran with a key that was in no configuration.
 @pytest.mark.parametrize("path", ["/pay/1", "/open/1"])
-def test_given_a_key_that_no_configuration_holds_then_no_worker_runs_the_request(path: str) -> None:
+def test_given_a_key_that_is_in_no_configuration_then_no_worker_runs_the_request(path: str) -> None:
     authorization = (b"Authorization", f"Bearer {UNKNOWN_KEY}".encode())
-    answer, receivers = run_virtual(_ask(path, authorization))
+    answer, receivers = run_virtual(_send_request(path, authorization))
     assert receivers == []
     assert answer.status == 401
 
 
-# Guards against ROUTE: a request without any key ran on a route that asks for one.
+# Guards against ROUTE: a request without a key ran on a route that requires one.
 def test_given_no_key_then_no_worker_runs_the_request() -> None:
-    answer, receivers = run_virtual(_ask("/pay/1"))
+    answer, receivers = run_virtual(_send_request("/pay/1"))
     assert receivers == []
     assert answer.status == 401
