--- a/arrowfold/dataplane/front.py
+++ b/arrowfold/dataplane/front.py
@@ -283,7 +283,7 @@
     )
 
 
-class ReadinessFront:
+class ReadinessServer:
     """The HTTP server for the platform's readiness probes: 200 while ready, else 503."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
--- a/arrowfold/dataplane/node.py
+++ b/arrowfold/dataplane/node.py
@@ -11,7 +11,7 @@
 from arrowfold.dataplane.credentials import TENANTS_CONTRACT
 from arrowfold.dataplane.forwarding import RequestForwarder
 from arrowfold.dataplane.freshness import StateFreshness
-from arrowfold.dataplane.front import EdgeFront, ReadinessFront
+from arrowfold.dataplane.front import EdgeFront, ReadinessServer
 from arrowfold.dataplane.options import DataPlaneOptions
 from arrowfold.dataplane.placement_overlay import PlacementOverlay
 from arrowfold.dataplane.process_end import ProcessEnd
@@ -106,7 +106,7 @@
             keys_are_fresh=freshness.is_fresh,
         )
         self._front = EdgeFront(self._forwarder.forward, self._limits, process_end)
-        self._readiness = ReadinessFront(self.is_ready)
+        self._readiness = ReadinessServer(self.is_ready)
         self._client = ChannelClient()
         identity = NodeIdentity(
             settings.nodeName,
--- a/arrowfold/dataplane/usage_counts.py
+++ b/arrowfold/dataplane/usage_counts.py
@@ -44,7 +44,7 @@
         """Returns the counts so far of each window that is not known to be decided, in order of time."""
         return tuple(WindowCounts(window, dict(self._counts[window])) for window in sorted(self._counts))
 
-    def decided(self, through: int) -> None:
+    def drop_decided(self, through: int) -> None:
         """Drops the windows up to `through`, whose totals are final."""
         self._decided_through = max(self._decided_through, through)
         for window in [window for window in self._counts if window <= through]:
--- a/arrowfold/dataplane/usage_reporter.py
+++ b/arrowfold/dataplane/usage_reporter.py
@@ -67,7 +67,7 @@
         report = UsageReport(self._identity, self._counts.undecided(), self._counts.ended_through())
         answer = (await self._caller.call(address, report, timeout_s)).ok()
         if isinstance(answer, UsageReceipt):
-            self._counts.decided(answer.decided_through)
+            self._counts.drop_decided(answer.decided_through)
 
     def _pause_s(self) -> float:
         """Returns the time in seconds until the next report; the offset counts from the ends of windows."""
--- a/tests/system/test_usage_edge.py
+++ b/tests/system/test_usage_edge.py
@@ -51,9 +51,9 @@
     """An edge whose configuration has a tenant, and the tenants of the requests that it counted."""
 
     def __init__(self, key: bytes = KEY) -> None:
-        self.begun: list[str] = []
+        self.counted: list[str] = []
         self.edge = EdgeStory()
-        self.edge.forwarder._on_begun = self.begun.append
+        self.edge.forwarder._on_begun = self.counted.append
         tenants = [{"name": "huka", "apiKeys": [KEY.decode()]}]
         self.edge.tell(configuration_update({**configuration(TENANT_ROUTES), "tenants": tenants}))
         self.edge.tell(*(WorkerUpdate("origin", 1, record) for record in WORKERS))
@@ -77,7 +77,7 @@
             MODELS_WORKERS if path.startswith(("/talk", "/draft")) else CARDS_WORKERS, *scripted
         )
         await counting_edge.ask(path)
-        return counting_edge.begun
+        return counting_edge.counted
 
     return run_virtual(scenario())
 
@@ -133,9 +133,9 @@
         counting_edge.script(MODELS_WORKERS, events(1, 3, pause_s=1.0))
         request = asyncio.create_task(counting_edge.ask("/talk/1"))
         await asyncio.sleep(0.9)
-        assert counting_edge.begun == []
+        assert counting_edge.counted == []
         await asyncio.sleep(0.2)
-        assert counting_edge.begun == ["huka"]
+        assert counting_edge.counted == ["huka"]
         await request
 
     run_virtual(scenario())
@@ -148,7 +148,7 @@
         for instance in CARDS_WORKERS:
             counting_edge.edge.workers.scripts[instance] = silent
         await counting_edge.ask("/pay/1")
-        assert counting_edge.begun == ["huka"]
+        assert counting_edge.counted == ["huka"]
 
     run_virtual(scenario())
 
@@ -166,9 +166,9 @@
     counts.begun("puhu")
     assert counts.undecided() == (WindowCounts(1, {"huka": 1}), WindowCounts(2, {"huka": 1, "puhu": 1}))
     assert counts.ended_through() == 1
-    counts.decided(1)
+    counts.drop_decided(1)
     assert [entry.window for entry in counts.undecided()] == [2]
-    counts.decided(2)
+    counts.drop_decided(2)
     counts.begun("huka")  # a clock that runs behind: the window is already decided
     assert counts.undecided() == ()
 
