--- a/arrowfold/dataplane/chunked_ends.py
+++ b/arrowfold/dataplane/chunked_ends.py
@@ -1,17 +1,17 @@
-"""Whether a chunked message ended without trailers.
+"""Detects whether a chunked message ended without trailers.
 
-The parser of both ends keeps the last trailer of a message and hands it on as the first header of the next
-one on the connection. So a connection on which trailers came is not read any further.
+The HTTP parser, used for clients and for workers, reports the last trailer of a message as the first header
+of the next message on the connection. Therefore a connection on which trailers were received is not reused.
 """
 
 from __future__ import annotations
 
-_PLAIN_END = b"\r\n0\r\n\r\n"  # the last chunk, with nothing behind it but the empty line
+_PLAIN_END = b"\r\n0\r\n\r\n"  # the last chunk, followed by the empty line only
 _LENGTH = len(_PLAIN_END)
 
 
 class ChunkedEnd:
-    """The last bytes that came on a connection."""
+    """Tracks the last bytes received on a connection."""
 
     __slots__ = ("_tail",)
 
@@ -19,9 +19,9 @@
         self._tail = b""
 
     def take(self, data: bytes) -> None:
-        """Note bytes as they come."""
+        """Record received bytes."""
         self._tail = data[-_LENGTH:] if len(data) >= _LENGTH else (self._tail + data)[-_LENGTH:]
 
     def is_plain(self) -> bool:
-        """Whether the newest bytes are those of a chunked message's end without trailers."""
+        """Whether the last bytes end a chunked message without trailers."""
         return self._tail == _PLAIN_END
--- a/arrowfold/dataplane/events.py
+++ b/arrowfold/dataplane/events.py
@@ -1,58 +1,58 @@
-"""Whole events of an event stream (text/event-stream), cut from the bytes as they come."""
+"""Splits the bytes of an event stream (text/event-stream) into events."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-BLANK_LINES = (b"\n\n", b"\r\n\r\n")
-LARGEST_EVENT = 1024 * 1024  # bytes; a stream without event ends is no event stream
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
+MAX_EVENT_BYTES = 1024 * 1024  # a stream without event ends is not an event stream
 
 
 class EventTooLargeError(Exception):
-    """More bytes than an event may hold came without an event's end."""
+    """An event exceeds MAX_EVENT_BYTES."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event, with its raw bytes and the number on its `id` line, if there is one."""
+    """One complete event: its raw bytes, and the number of its `id` line or None."""
 
     data: bytes
     identity: int | None
 
 
 class EventSplitter:
-    """Collects the bytes of a stream and gives its whole events."""
+    """Buffers the bytes of a stream and returns its complete events."""
 
     def __init__(self) -> None:
-        self._pending = b""
+        self._incomplete = b""
 
     @property
     def pending(self) -> bytes:
-        """The bytes of an event whose end has not come."""
-        return self._pending
+        """The bytes of an event whose end has not been received."""
+        return self._incomplete
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """The events that these bytes complete."""
-        buffer = self._pending + data if self._pending else data
+        """Returns the events that are completed by `data`. Raises EventTooLargeError."""
+        buffer = self._incomplete + data if self._incomplete else data
         events = []
         start = 0
-        while (end := _event_end(buffer, start)) is not None:
-            raw = buffer[start:end]
-            events.append(StreamEvent(raw, _identity(raw)))
+        while (end := _find_event_end(buffer, start)) is not None:
+            event_bytes = buffer[start:end]
+            events.append(StreamEvent(event_bytes, _event_id(event_bytes)))
             start = end
-        self._pending = buffer[start:]
-        if len(self._pending) > LARGEST_EVENT:
+        self._incomplete = buffer[start:]
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise EventTooLargeError
         return events
 
 
-def _event_end(buffer: bytes, start: int) -> int | None:
-    ends = [found + len(line) for line in BLANK_LINES if (found := buffer.find(line, start)) >= 0]
+def _find_event_end(buffer: bytes, start: int) -> int | None:
+    ends = [found + len(line) for line in EVENT_TERMINATORS if (found := buffer.find(line, start)) >= 0]
     return min(ends) if ends else None
 
 
-def _identity(raw: bytes) -> int | None:
-    for line in raw.splitlines():
+def _event_id(event_bytes: bytes) -> int | None:
+    for line in event_bytes.splitlines():
         if line.startswith(b"id:"):
             text = line[3:].strip()
             return int(text) if text.isdigit() else None
--- a/arrowfold/dataplane/headers.py
+++ b/arrowfold/dataplane/headers.py
@@ -1,4 +1,4 @@
-"""Headers of forwarded messages, kept as the raw bytes that came."""
+"""Names, filters and parsers for the headers of forwarded messages, which are kept as received bytes."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
         b"upgrade",
     }
 )
-# Headers of a request that the edge writes itself.
+# Headers that the edge replaces by its own, or removes.
 REWRITTEN_IN_ANSWERS = frozenset({CONTENT_LENGTH})
 REWRITTEN_IN_REQUESTS = frozenset({CONTENT_LENGTH, b"expect", DEADLINE_MS, TARGET_INSTANCE, PRIORITY, TENANT})
 
 
 def find(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> str | None:
-    """The value of the first header with this name (given in lower case), or None."""
+    """Returns the value of the first header with this name (in lower case), or None."""
     for key, value in headers:
         if key.lower() == name:
             return value.decode("latin-1").strip()
@@ -56,23 +56,23 @@
 
 
 def end_to_end(headers: RawHeaders, dropped: frozenset[bytes]) -> list[tuple[bytes, bytes]]:
-    """The headers to pass on: without those of one connection, those it names, and `dropped`."""
-    named = {
+    """Returns the headers to forward: without hop-by-hop ones, those listed in Connection, and `dropped`."""
+    connection_options = {
         token.strip().lower()
         for key, value in headers
         if key.lower() == CONNECTION
         for token in value.split(b",")
     }
-    kept = []
+    forwarded = []
     for key, value in headers:
         name = key.lower()
-        if name not in HOP_BY_HOP and name not in dropped and name not in named:
-            kept.append((key, value))
-    return kept
+        if name not in HOP_BY_HOP and name not in dropped and name not in connection_options:
+            forwarded.append((key, value))
+    return forwarded
 
 
 def parse_number(text: str | None) -> float | None:
-    """A finite number that is not negative, or None."""
+    """Parses a finite, non-negative number; returns None for anything else."""
     try:
         number = float(text) if text is not None else -1.0
     except ValueError:
@@ -81,31 +81,31 @@
 
 
 def parse_model(text: str | None) -> tuple[str, str]:
-    """Model and adapter of `X-Model: MODEL[/ADAPTER]`; empty where there is none."""
+    """Parses `X-Model: MODEL[/ADAPTER]` into model and adapter; a missing part is empty."""
     model, _, adapter = (text or "").partition("/")
     return model, adapter
 
 
 def parse_token_usage(text: str | None) -> tuple[int, int]:
-    """Tokens of the prompt and most tokens of the output, of `X-Token-Usage: IN,OUT`."""
+    """Parses `X-Token-Usage: IN,OUT` into the tokens of the prompt and the maximum tokens of the output."""
     prompt, _, output = (text or "").partition(",")
-    return _whole(prompt), _whole(output)
+    return _parse_count(prompt), _parse_count(output)
 
 
 def parse_prompt_parts(text: str | None) -> tuple[PromptPart, ...]:
-    """The parts of `X-Prompt-Prefix: ID:TOKENS,...`, in order."""
+    """Parses `X-Prompt-Prefix: ID:TOKENS,...` into the parts of the prompt, in order."""
     if not text:
         return ()
     parts = []
     for item in text.split(","):
         identity, _, tokens = item.strip().rpartition(":")
         if identity:
-            parts.append(PromptPart(identity, _whole(tokens)))
+            parts.append(PromptPart(identity, _parse_count(tokens)))
     return tuple(parts)
 
 
 def parse_load(text: str | None) -> tuple[int, int, int] | None:
-    """Running, waiting and slots of `X-Server-Load: R,W,S`, or None."""
+    """Parses `X-Server-Load: R,W,S` into running requests, waiting requests and slots, or None."""
     fields = (text or "").split(",")
     if len(fields) != 3 or not all(field.strip().isdigit() for field in fields):
         return None
@@ -114,7 +114,7 @@
 
 
 def parse_keep_alive_s(text: str | None) -> float | None:
-    """The seconds of a `Keep-Alive: timeout=N` header, or of a bare number, or None."""
+    """Parses the seconds of `Keep-Alive: timeout=N`, or of a bare number; returns None without either."""
     for item in (text or "").split(","):
         name, _, value = item.strip().rpartition("=")
         if name.strip().lower() in ("", "timeout"):
@@ -122,6 +122,6 @@
     return None
 
 
-def _whole(text: str) -> int:
-    stripped = text.strip()
-    return int(stripped) if stripped.isdigit() else 0
+def _parse_count(text: str) -> int:
+    digits = text.strip()
+    return int(digits) if digits.isdigit() else 0
