--- a/arrowfold/dataplane/attempts.py
+++ b/arrowfold/dataplane/attempts.py
@@ -1,4 +1,4 @@
-"""What has become of one client request so far: where it was sent, what may have run, what is left to try."""
+"""State of one client request while it is forwarded: attempts made, deadline, and stream position."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 
 @dataclass(slots=True)
 class RequestProgress:
-    """One client request on its way. `sends` counts what a worker may have run, or had no room for."""
+    """State of one client request.
+
+    `attempts_used` counts the attempts that a worker may have executed, or refused for lack of capacity.
+    """
 
     request: ClientRequest
     route: Route
@@ -35,30 +38,30 @@
     profile: RequestProfile
     attempt_id: str
     deadline_s: float
-    sends: int = 0
-    arrivals: int = 0  # what reached a worker, those included that it said it couldn't run there
-    misdirections: int = 0  # of these, what a worker did not hold the class for
+    attempts_used: int = 0
+    deliveries: int = 0  # attempts that reached a worker, including misdirected ones
+    misdirections: int = 0  # deliveries to workers that did not have the model
     may_have_run: bool = False
-    tried: set[str] = field(default_factory=set)
-    last_event: int | None = None
-    events_passed: int = 0
+    tried_instances: set[str] = field(default_factory=set)
+    last_event_id: int | None = None
+    events_forwarded: int = 0
     stream_versions: str | None = None
-    broken_s: float | None = None  # when the last worker broke off
+    lost_at_s: float | None = None  # when the last attempt was lost
     trace: RequestTrace = field(default_factory=lambda: RequestTrace(0.0))
     credentials: Credentials = NO_CREDENTIALS
-    tenant: Tenant | None = None  # the owner of the key, when it was last looked at
-    hides_key: bool = False  # Authorization may hold a tenant's key and stays at the edge
-    counted: bool = False  # in the tenant's usage: once, however many workers run it
+    tenant: Tenant | None = None  # owner of the key, as of the last key check
+    hides_key: bool = False  # Authorization may hold a tenant's key and is not forwarded to workers
+    is_counted_for_tenant: bool = False  # in its usage: once per request, however many workers run it
 
     @property
-    def may_send_again(self) -> bool:
-        """Whether the rules allow one more worker, before the budget is asked."""
-        if self.sends >= self.route.max_attempts:
+    def can_retry(self) -> bool:
+        """Whether the route permits one more attempt, before the retry budget is checked."""
+        if self.attempts_used >= self.route.max_attempts:
             return False
         return self.route.repeatable or not self.may_have_run
 
     def take_tenant(self, tenant: Tenant | None) -> None:
-        """Take the owner of the key; the owner's priority comes before the route's."""
+        """Set the owner of the key, whose priority overrides that of the route."""
         if tenant == self.tenant:
             return
         self.tenant = tenant
@@ -71,21 +74,23 @@
     return tenant.priority
 
 
-def begin(
+def create_progress(
     request: ClientRequest,
     route: Route,
     service: str,
     credentials: Credentials = NO_CREDENTIALS,
     tenant: Tenant | None = None,
 ) -> RequestProgress:
-    """The progress of a request that has just come, with its profile for the selection."""
+    """Returns the state of a request that has just arrived, with its profile for worker selection."""
     headers = request.headers
     attempt_id = find(headers, ATTEMPT_ID) or ""
-    patience_ms = parse_number(find(headers, DEADLINE_MS))
-    allowed_s = route.timeout_s if patience_ms is None else min(route.timeout_s, patience_ms / 1000)
+    client_deadline_ms = parse_number(find(headers, DEADLINE_MS))
+    time_limit_s = (
+        route.timeout_s if client_deadline_ms is None else min(route.timeout_s, client_deadline_ms / 1000)
+    )
     model, adapter = parse_model(find(headers, MODEL))
     prompt_tokens, output_tokens = parse_token_usage(find(headers, TOKEN_USAGE))
-    last_event = find(headers, LAST_EVENT_ID)
+    last_event_id = find(headers, LAST_EVENT_ID)
     profile = RequestProfile(
         request=attempt_id,
         route=route.name,
@@ -100,10 +105,10 @@
         idempotent=route.repeatable,
         arrived_s=request.arrived_s,
         latency_objective_s=route.latency_objective_s,
-        deadline_s=request.arrived_s + allowed_s,
+        deadline_s=request.arrived_s + time_limit_s,
         attempts_left=route.max_attempts,
         pause_objective_s=route.gap_aim_s or 0.0,
-        client_wait_s=allowed_s if patience_ms is None else patience_ms / 1000,
+        client_wait_s=time_limit_s if client_deadline_ms is None else client_deadline_ms / 1000,
     )
     return RequestProgress(
         request=request,
@@ -112,7 +117,7 @@
         profile=profile,
         attempt_id=attempt_id,
         deadline_s=profile.deadline_s,
-        last_event=int(last_event) if last_event is not None and last_event.isdigit() else None,
+        last_event_id=int(last_event_id) if last_event_id is not None and last_event_id.isdigit() else None,
         trace=RequestTrace(request.arrived_s),
         credentials=credentials,
         tenant=tenant,
--- a/arrowfold/dataplane/exchange.py
+++ b/arrowfold/dataplane/exchange.py
@@ -1,4 +1,4 @@
-"""The seam between forwarding and HTTP: requests, answers of workers and answers to clients, as ports."""
+"""Interfaces between request forwarding and HTTP: client requests, worker exchanges and client answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as it was read from a client, whole. `target` is the raw path and query."""
+    """A complete request from a client. `target` is the raw path and query."""
 
     method: str
     target: str
@@ -25,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRequest:
-    """A request as it is written to a worker; `headers` lack only the body's length.
+    """A request to a worker. `headers` are complete except for Content-Length.
 
-    `movable`: after a loss it may be sent to one more worker. `usual_read_s`: how long a worker may well take
-    to read its prompt. `priority`: of the tenant or the route; 0 is the most urgent.
+    `is_retryable`: whether it may be sent to another worker after a loss. `expected_prompt_read_s`: time in
+    which a busy worker reads the prompt. `priority`: of the tenant or the route; 0 is the most urgent.
     """
 
     attempt_id: str
@@ -36,34 +36,34 @@
     target: str
     headers: RawHeaders
     body: bytes
-    movable: bool
-    usual_read_s: float = 0.0
+    is_retryable: bool
+    expected_prompt_read_s: float = 0.0
     priority: int = 0
 
 
 class SendFailure(Enum):
-    """Why there is no answer of a worker."""
+    """Why a worker returned no answer."""
 
     UNREACHABLE = "unreachable"  # no connection: the request was not sent
-    NO_CONNECTION_FREE = "no_connection_free"  # our share of the worker's connections is in use: not sent
-    LOST = "lost"  # sent, then broken off or spoilt: it may have run
+    NO_CONNECTION_FREE = "no_connection_free"  # this edge's connections to the worker are in use: not sent
+    LOST = "lost"  # sent, then interrupted or answered with invalid HTTP: it may have run
 
 
-class BodyLostError(Exception):
-    """The body of an answer ended before it was whole."""
+class IncompleteBodyError(Exception):
+    """The body of an answer is truncated, too large or invalid."""
 
 
 class WorkerAnswer(Protocol):
-    """A worker's answer, its head read, its body still to come."""
+    """A worker's answer whose head has been read and whose body is still to be read."""
 
     status: int
     headers: RawHeaders
 
     async def read_chunk(self) -> bytes:
-        """The next bytes of the body, empty at its end; raises BodyLostError when it breaks off."""
+        """Returns the next bytes of the body, empty at its end. Raises IncompleteBodyError."""
 
     def close(self) -> None:
-        """Keep the connection if the answer was read whole, else drop it."""
+        """Release the connection for reuse if the answer was read completely, else close it."""
 
 
 class WorkerTransport(Protocol):
@@ -72,7 +72,7 @@
     async def send(
         self, instance: str, address: str, request: WorkerRequest
     ) -> Result[WorkerAnswer, SendFailure]:
-        """Send it over a connection to this instance and read the head of its answer."""
+        """Send a request to an instance and read the head of its answer."""
 
 
 class ClientAnswer(Protocol):
@@ -80,19 +80,19 @@
 
     @property
     def started(self) -> bool:
-        """Whether the head was passed on."""
+        """Whether the head has been sent."""
 
     async def start(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Pass on the head of an answer whose body is of unknown length."""
+        """Send the head of an answer whose body has an unknown length."""
 
     async def write(self, data: bytes) -> None:
-        """Pass on a part of the body at once."""
+        """Send a part of the body without delay."""
 
     async def finish(self) -> None:
-        """End the body, so that the answer is complete."""
+        """End the body and complete the answer."""
 
     async def send_whole(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """Pass on a whole answer."""
+        """Send a complete answer."""
 
     def abort(self) -> None:
-        """Break off, so that the answer can't look complete."""
+        """Close the connection, so that the client cannot take the answer for complete."""
--- a/arrowfold/dataplane/stalled_exchanges.py
+++ b/arrowfold/dataplane/stalled_exchanges.py
@@ -1,8 +1,8 @@
-"""Finds exchanges that will not end: at workers that went dark, and such as a worker has lost or holds still.
+"""Detects HTTP exchanges that make no progress: at unresponsive instances, and on single connections.
 
-A connection to a machine without power hangs without an error, and a worker in trouble may be silent on
-one connection only. What may move to another worker is broken off there, so that it goes on; what may not is
-left to its deadline.
+A connection to a host without power hangs without an error, and a faulty worker may stop answering on one
+connection only. Exchanges whose request can be retried are reset, so that another worker takes over; all
+others run until their deadline.
 """
 
 from __future__ import annotations
@@ -14,101 +14,106 @@
 from arrowfold.dataplane.worker_connections import InstancePool, WorkerConnection, WorkerConnections
 from arrowfold.node.logs import RateLimitedLog
 
-LOOK_S = 0.2  # between looks
-SILENCE_S = 0.6  # without a byte from an instance that should answer, until it is tried
-STALL_S = 1.2  # without a byte on a connection, beside the time to read the prompt, until it is given up
-OVERTAKEN_S = 0.5  # since an answer to a later request of no more urgent a route began
-PROBE_S = 0.35  # for the connection that tries an instance
-RETRY_S = 1.0  # until an instance that was found alive is tried again
-LATE_S = 0.5  # a look that comes so late means that this process stood still itself
-Probe = Callable[[str], Awaitable[bool]]
+CHECK_INTERVAL_S = 0.2
+UNRESPONSIVE_AFTER_S = 0.6  # without a byte from an instance with requests, until it is probed
+STALL_TIMEOUT_S = 1.2  # without a byte on a connection, in addition to the time to read the prompt
+# Since the answer began to a request that was sent later, with the same or a less urgent priority.
+OVERTAKEN_AFTER_S = 0.5
+PROBE_TIMEOUT_S = 0.35  # to connect to an instance
+REPROBE_DELAY_S = 1.0  # until a responsive instance is checked again
+LATE_CHECK_S = 0.5  # a check delayed by more than this means that this process itself was suspended
+AddressProbe = Callable[[str], Awaitable[bool]]
 
 
 class StalledExchangeWatch:
-    """Looks at the exchanges under way, and breaks off those that stall and may move."""
+    """Checks the exchanges in progress, and resets those that stall and can be retried."""
 
     def __init__(
-        self, connections: WorkerConnections, log: RateLimitedLog, accepts: Probe | None = None
+        self, connections: WorkerConnections, log: RateLimitedLog, is_responsive: AddressProbe | None = None
     ) -> None:
         self._connections = connections
         self._log = log
-        self._accepts = accepts or accepts_connections
+        self._is_responsive = is_responsive or is_host_responsive
         self._loop = asyncio.get_running_loop()
-        self._looked_s = self._loop.time()
-        self._trusted_until: dict[str, float] = {}
+        self._last_check_s = self._loop.time()
+        self._skipped_until_s: dict[str, float] = {}
         self._probes: dict[str, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Look again and again."""
+        """Check periodically until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            self.look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.check_exchanges()
 
-    def look(self) -> None:
-        """Give up stalled exchanges, and try the instances that are silent though they should answer."""
+    def check_exchanges(self) -> None:
+        """Reset stalled exchanges, and probe the instances that are unresponsive."""
         now_s = self._loop.time()
-        late = now_s - self._looked_s > LOOK_S + LATE_S
-        self._looked_s = now_s
+        is_late_check = now_s - self._last_check_s > CHECK_INTERVAL_S + LATE_CHECK_S
+        self._last_check_s = now_s
         for instance, pool in self._connections.pools.items():
-            if late:
-                self._trusted_until[instance] = now_s + RETRY_S
-            if now_s < self._trusted_until.get(instance, 0.0):
+            if is_late_check:
+                self._skipped_until_s[instance] = now_s + REPROBE_DELAY_S
+            if now_s < self._skipped_until_s.get(instance, 0.0):
                 continue
             for connection in [c for c in pool.active if _has_stalled(c, pool, now_s)]:
-                self._log.info("exchange_stalled", instance=instance, silent_s=now_s - connection.heard_s)
-                connection.break_off()
-            if instance not in self._probes and _is_silent(pool, now_s):
-                self._probes[instance] = asyncio.create_task(self._probe(instance, pool))
-
-    async def _probe(self, instance: str, pool: InstancePool) -> None:
+                self._log.info(
+                    "exchange_stalled", instance=instance, silent_s=now_s - connection.last_activity_s
+                )
+                connection.reset()
+            if instance not in self._probes and _is_unresponsive(pool, now_s):
+                self._probes[instance] = asyncio.create_task(self._probe_instance(instance, pool))
+
+    async def _probe_instance(self, instance: str, pool: InstancePool) -> None:
         try:
-            if await self._accepts(pool.address):
-                self._trusted_until[instance] = self._loop.time() + RETRY_S
-            elif _is_silent(pool, self._loop.time()):
-                self._break_off(instance, pool)
+            if await self._is_responsive(pool.address):
+                self._skipped_until_s[instance] = self._loop.time() + REPROBE_DELAY_S
+            elif _is_unresponsive(pool, self._loop.time()):
+                self._reset_exchanges(instance, pool)
         finally:
             del self._probes[instance]
 
-    def _break_off(self, instance: str, pool: InstancePool) -> None:
-        broken = [connection for connection in pool.active if _may_move(connection.request)]
-        self._log.warning("worker_dark", instance=instance, address=pool.address, broken_off=len(broken))
-        for connection in broken:
-            connection.break_off()
-        self._connections.drop_idle(pool)
+    def _reset_exchanges(self, instance: str, pool: InstancePool) -> None:
+        reset_connections = [connection for connection in pool.active if _can_move(connection.request)]
+        self._log.warning(
+            "worker_dark", instance=instance, address=pool.address, broken_off=len(reset_connections)
+        )
+        for connection in reset_connections:
+            connection.reset()
+        self._connections.close_idle(pool)
 
 
-def _may_move(request: WorkerRequest | None) -> bool:
-    return request is not None and request.movable
+def _can_move(request: WorkerRequest | None) -> bool:
+    return request is not None and request.is_retryable
 
 
-def _is_silent(pool: InstancePool, now_s: float) -> bool:
-    if now_s - pool.heard_s <= SILENCE_S:
+def _is_unresponsive(pool: InstancePool, now_s: float) -> bool:
+    if now_s - pool.last_activity_s <= UNRESPONSIVE_AFTER_S:
         return False
-    return any(_may_move(c.request) and now_s - c.heard_s > SILENCE_S for c in pool.active)
+    return any(_can_move(c.request) and now_s - c.last_activity_s > UNRESPONSIVE_AFTER_S for c in pool.active)
 
 
 def _has_stalled(connection: WorkerConnection, pool: InstancePool, now_s: float) -> bool:
-    """Whether this exchange alone is silent, while the instance answers others."""
+    """Whether this exchange makes no progress while the instance answers others."""
     request = connection.request
-    if request is None or not request.movable or now_s - pool.heard_s > SILENCE_S:
+    if request is None or not request.is_retryable or now_s - pool.last_activity_s > UNRESPONSIVE_AFTER_S:
         return False
-    if now_s - connection.heard_s <= STALL_S + request.usual_read_s:
+    if now_s - connection.last_activity_s <= STALL_TIMEOUT_S + request.expected_prompt_read_s:
         return False
-    return connection.body_began or _was_overtaken(connection, request.priority, pool, now_s)
+    return connection.has_body_started or _was_overtaken(connection, request.priority, pool, now_s)
 
 
 def _was_overtaken(connection: WorkerConnection, priority: int, pool: InstancePool, now_s: float) -> bool:
     return any(
-        other >= priority and sent_s > connection.sent_s and now_s - answered_s > OVERTAKEN_S
-        for other, (sent_s, answered_s) in pool.answered.items()
+        other >= priority and sent_s > connection.sent_s and now_s - answered_s > OVERTAKEN_AFTER_S
+        for other, (sent_s, answered_s) in pool.answered_by_priority.items()
     )
 
 
-async def accepts_connections(address: str) -> bool:
-    """Whether the machine there answers at all; one that refuses a connection does."""
+async def is_host_responsive(address: str) -> bool:
+    """Returns whether the host answers a connection attempt, be it with a refusal."""
     host, port = address.rsplit(":", 1)
     try:
-        async with asyncio.timeout(PROBE_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except TimeoutError:
         return False
--- a/arrowfold/dataplane/worker_answers.py
+++ b/arrowfold/dataplane/worker_answers.py
@@ -1,34 +1,37 @@
-"""Reading what a worker answers: the kind of its body, and a whole body."""
+"""Reads the bodies of workers' answers."""
 
 from __future__ import annotations
 
 import contextlib
 
-from arrowfold.dataplane.exchange import BodyLostError, WorkerAnswer
+from arrowfold.dataplane.exchange import IncompleteBodyError, WorkerAnswer
 from arrowfold.dataplane.headers import CONTENT_TYPE, find
 
-LARGEST_BUFFERED_BODY = 8 * 1024 * 1024  # bytes of an answer that is no stream
+MAX_BUFFERED_BODY_BYTES = 8 * 1024 * 1024  # of an answer that is not an event stream
 
 
 def is_event_stream(worker_answer: WorkerAnswer) -> bool:
-    """Whether the body is a stream of events."""
+    """Whether the body is an event stream, by its Content-Type."""
     content_type = find(worker_answer.headers, CONTENT_TYPE) or ""
     return content_type.partition(";")[0].strip().lower() == "text/event-stream"
 
 
 async def read_body(worker_answer: WorkerAnswer) -> bytes:
-    """The whole body; raises BodyLostError when it breaks off or is larger than LARGEST_BUFFERED_BODY."""
+    """Returns the body.
+
+    Raises IncompleteBodyError when it is truncated or larger than MAX_BUFFERED_BODY_BYTES.
+    """
     chunks = []
     size = 0
     while chunk := await worker_answer.read_chunk():
         chunks.append(chunk)
         size += len(chunk)
-        if size > LARGEST_BUFFERED_BODY:
-            raise BodyLostError("the body is too large")
+        if size > MAX_BUFFERED_BODY_BYTES:
+            raise IncompleteBodyError("the body is too large")
     return b"".join(chunks)
 
 
-async def skip_body(worker_answer: WorkerAnswer) -> None:
-    """Read the body to its end, so that the connection can be kept."""
-    with contextlib.suppress(BodyLostError):
+async def discard_body(worker_answer: WorkerAnswer) -> None:
+    """Read and discard the body, so that the connection can be reused."""
+    with contextlib.suppress(IncompleteBodyError):
         await read_body(worker_answer)
--- a/arrowfold/dataplane/worker_requests.py
+++ b/arrowfold/dataplane/worker_requests.py
@@ -1,6 +1,6 @@
-"""The request that a worker gets: the client's, without what is not for workers, with what the edge adds.
+"""Builds the requests to workers: the client's request with headers removed and added by the edge.
 
-Every attempt is built here, the first one, a retry and the continuation of a stream alike.
+Used for all attempts: first attempts, retries and resumptions of streams.
 """
 
 from __future__ import annotations
@@ -15,38 +15,40 @@
 )
 from arrowfold.selection.interface import ChosenWorker
 
-SLOW_PROMPT_TOKENS_S = 15_000  # a busy worker reads prompts faster
-_WITHOUT_KEY = REWRITTEN_IN_REQUESTS | {AUTHORIZATION}
-_MILLISECONDS = 1000
+MIN_PROMPT_TOKENS_PER_S = 15_000  # a busy worker reads prompts faster than this
+_REWRITTEN_OR_KEY = REWRITTEN_IN_REQUESTS | {AUTHORIZATION}
+_MS_PER_S = 1000
 
 
-def make_worker_request(progress: RequestProgress, choice: ChosenWorker, left_s: float) -> WorkerRequest:
-    """The request for the chosen worker, `left_s` seconds before its deadline."""
+def make_worker_request(progress: RequestProgress, choice: ChosenWorker, remaining_s: float) -> WorkerRequest:
+    """Returns the request for the chosen worker, `remaining_s` seconds before the deadline."""
     request = progress.request
-    dropped = _WITHOUT_KEY if progress.hides_key else REWRITTEN_IN_REQUESTS
-    resumed = progress.events_passed > 0 and progress.last_event is not None
-    if resumed:
+    dropped = _REWRITTEN_OR_KEY if progress.hides_key else REWRITTEN_IN_REQUESTS
+    is_resumed = progress.events_forwarded > 0 and progress.last_event_id is not None
+    if is_resumed:
         dropped = dropped | {LAST_EVENT_ID}
     return WorkerRequest(
         attempt_id=progress.attempt_id,
         method=request.method,
         target=request.target,
-        headers=tuple(end_to_end(request.headers, dropped) + _own_headers(progress, choice, left_s, resumed)),
+        headers=tuple(
+            end_to_end(request.headers, dropped) + _edge_headers(progress, choice, remaining_s, is_resumed)
+        ),
         body=request.body,
-        movable=progress.may_send_again,
-        usual_read_s=progress.profile.prompt_tokens / SLOW_PROMPT_TOKENS_S,
+        is_retryable=progress.can_retry,
+        expected_prompt_read_s=progress.profile.prompt_tokens / MIN_PROMPT_TOKENS_PER_S,
         priority=progress.profile.priority,
     )
 
 
-def _own_headers(
-    progress: RequestProgress, choice: ChosenWorker, left_s: float, resumed: bool
+def _edge_headers(
+    progress: RequestProgress, choice: ChosenWorker, remaining_s: float, is_resumed: bool
 ) -> list[tuple[bytes, bytes]]:
     headers: list[tuple[bytes, bytes]] = []
-    if resumed and progress.last_event is not None:
-        headers.append((b"Last-Event-Id", b"%d" % progress.last_event))
-    left_ms = max(1, int(left_s * _MILLISECONDS))
-    headers.append((b"X-Deadline-Ms", b"%d" % left_ms))
+    if is_resumed and progress.last_event_id is not None:
+        headers.append((b"Last-Event-Id", b"%d" % progress.last_event_id))
+    remaining_ms = max(1, int(remaining_s * _MS_PER_S))
+    headers.append((b"X-Deadline-Ms", b"%d" % remaining_ms))
     headers.append((b"X-Target-Instance", choice.instance.encode("latin-1", "replace")))
     if choice.priority_header is not None:
         headers.append((b"Priority", b"%d" % choice.priority_header))
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -547,7 +547,7 @@
     *_guards(
         Area.DATA_PLANE,
         "dataplane/attempts.py",
-        ("attempts are bounded", "if self.sends >= self.route.max_attempts:", "if False:"),
+        ("attempts are bounded", "if self.attempts_used >= self.route.max_attempts:", "if False:"),
         (
             "what may have run is not sent again",
             "return self.route.repeatable or not self.may_have_run",
@@ -579,13 +579,13 @@
         ),
         (
             "an answer that is not whole drops its connection",
-            "self._reusable and whole)",
+            "self._reusable and is_complete)",
             "self._reusable)",
         ),
-        ("an answer without a length is never whole", "if not self._bounded:", "if False:"),
+        ("an answer without a length is never whole", "if not self._has_known_length:", "if False:"),
         (
             "connections to a worker are bounded",
-            "if pool.opened >= max(FEWEST_CONNECTIONS, self._share_of.get(instance, FEWEST_CONNECTIONS)):",
+            "if pool.open_count >= max(FEWEST_CONNECTIONS, self._limits.get(instance, FEWEST_CONNECTIONS)):",
             "if False:",
         ),
     ),
@@ -613,12 +613,12 @@
         "dataplane/process_end.py",
         (
             "no request outlives its process",
-            "return deadline_s <= self._ends_s or asyncio",
+            "return deadline_s <= self._answers_end_s or asyncio",
             "return True or asyncio",
         ),
         (
             "requests under way are bounded by the end",
-            "if due_s is not None and due_s > self._ends_s:",
+            "if timeout_at_s is not None and timeout_at_s > self._answers_end_s:",
             "if False:",
         ),
     ),
--- a/tests/system/edge_loopback.py
+++ b/tests/system/edge_loopback.py
@@ -283,9 +283,9 @@
     """Let all exchanges (and instances) have been silent for so long."""
     assert edge.connections is not None
     for pool in edge.connections.pools.values():
-        pool.heard_s -= seconds if pools else 0.0
+        pool.last_activity_s -= seconds if pools else 0.0
         for connection in pool.active:
-            connection.heard_s -= seconds
+            connection.last_activity_s -= seconds
             connection.sent_s -= seconds
 
 
--- a/tests/system/edge_stories.py
+++ b/tests/system/edge_stories.py
@@ -12,8 +12,8 @@
 from result import Err, Ok, Result
 
 from arrowfold.dataplane.exchange import (
-    BodyLostError,
     ClientRequest,
+    IncompleteBodyError,
     SendFailure,
     WorkerAnswer,
     WorkerRequest,
@@ -109,7 +109,7 @@
     async def read_chunk(self) -> bytes:
         if self._next >= len(self.chunks):
             if self.breaks:
-                raise BodyLostError("scripted")
+                raise IncompleteBodyError("scripted")
             return b""
         pause_s, data = self.chunks[self._next]
         self._next += 1
--- a/tests/system/test_edge_http_streams.py
+++ b/tests/system/test_edge_http_streams.py
@@ -113,7 +113,7 @@
         assert await client.read_part() == event(1)
         watch = StalledExchangeWatch(edge.connections, RateLimitedLog("edge"), dark)
         age(edge, 1.0)
-        watch.look()
+        watch.check_exchanges()
         await asyncio.sleep(0.3)  # longer than the pause before a stream looks for a worker again
         assert len(worker.heads) == (2 if broken_off else 1)
         if broken_off:
@@ -138,7 +138,7 @@
         await client.reader.readuntil(b"\r\n\r\n")
         watch = StalledExchangeWatch(edge.connections, RateLimitedLog("edge"))
         age(edge, 1.0)
-        watch.look()
+        watch.check_exchanges()
         await asyncio.sleep(0.1)
         assert worker.connections == 2
         assert len(edge.connections.pools["w1"].active) == 1
@@ -165,11 +165,11 @@
         assert await client.read_part() == event(1)
         watch = StalledExchangeWatch(edge.connections, RateLimitedLog("edge"))
         age(edge, 1.1, pools=False)
-        watch.look()
+        watch.check_exchanges()
         await asyncio.sleep(0.05)
         assert len(worker.heads) == 1
         age(edge, 0.2, pools=False)
-        watch.look()
+        watch.check_exchanges()
         assert await client.read_part() == event(2)
         assert await client.read_part() == b""
         await edge.stop()
@@ -194,11 +194,13 @@
             other = await edge.client()
             await other.send(request_bytes("/look/2", "a2"))
             assert (await other.read()).status == 200
-            pool.answered = {key: (sent_s, at_s - 1) for key, (sent_s, at_s) in pool.answered.items()}
+            pool.answered_by_priority = {
+                key: (sent_s, at_s - 1) for key, (sent_s, at_s) in pool.answered_by_priority.items()
+            }
         else:
-            pool.heard_s = asyncio.get_running_loop().time()
+            pool.last_activity_s = asyncio.get_running_loop().time()
         seen = len(worker.heads)
-        StalledExchangeWatch(edge.connections, RateLimitedLog("edge")).look()
+        StalledExchangeWatch(edge.connections, RateLimitedLog("edge")).check_exchanges()
         await asyncio.sleep(0.05)
         assert len(worker.heads) == seen + overtaken
         if overtaken:
--- a/tests/system/test_edge_retry_budget.py
+++ b/tests/system/test_edge_retry_budget.py
@@ -34,39 +34,39 @@
 
 def test_without_requests_only_the_extra_share_is_there() -> None:
     budget = Edge(4).budget
-    taken = sum(budget.take("s", 0.0) for _ in range(100))
+    taken = sum(budget.try_consume("s", 0.0) for _ in range(100))
     assert taken == int(0.9 * EXTRA / 4)
 
 
 def test_what_was_given_back_can_be_taken_again() -> None:
     budget = Edge(52).budget
-    assert not budget.take("s", 0.0)
+    assert not budget.try_consume("s", 0.0)
     budget = Edge(26).budget
-    assert budget.take("s", 0.0)
-    assert not budget.take("s", 0.0)
-    budget.give_back("s")
-    assert budget.take("s", 0.0)
+    assert budget.try_consume("s", 0.0)
+    assert not budget.try_consume("s", 0.0)
+    budget.refund("s")
+    assert budget.try_consume("s", 0.0)
 
 
 def test_services_have_budgets_of_their_own() -> None:
     budget = Edge(26).budget
-    assert budget.take("a", 0.0) and budget.take("b", 0.0)
-    assert not budget.take("a", 0.0)
+    assert budget.try_consume("a", 0.0) and budget.try_consume("b", 0.0)
+    assert not budget.try_consume("a", 0.0)
 
 
 def test_a_new_life_spends_nothing_of_the_extra_share_in_its_first_window() -> None:
     edge = Edge(1)
     edge.restart(0.0)
-    assert not edge.budget.take("s", 9.9)
-    assert edge.budget.take("s", 10.0)
+    assert not edge.budget.try_consume("s", 9.9)
+    assert edge.budget.try_consume("s", 10.0)
 
 
 def test_the_most_edges_of_the_last_window_share_it() -> None:
     budget = Edge(52).budget
     budget.apply_edges(1, 0.0)
-    assert not budget.take("s", 5.0)
+    assert not budget.try_consume("s", 5.0)
     budget.apply_edges(1, 11.0)
-    assert budget.take("s", 21.5)
+    assert budget.try_consume("s", 21.5)
 
 
 @settings(max_examples=60, deadline=None)
@@ -87,7 +87,7 @@
             for _ in range(load):
                 edge.budget.count_request("s", now_s)
                 requests.append(now_s)
-            repeats.extend(now_s for _ in range(hunger) if edge.budget.take("s", now_s))
+            repeats.extend(now_s for _ in range(hunger) if edge.budget.try_consume("s", now_s))
     for end in range(120):
         start_s = end * STEP_S - WINDOW_S
         counted = max(within(requests, start_s - shift) for shift in (0.0, WINDOW_S / 2, WINDOW_S))
