--- a/tests/system/edge_loopback.py
+++ b/tests/system/edge_loopback.py
@@ -1,4 +1,4 @@
-"""An edge's HTTP front and worker connections on loopback, with workers and clients that speak raw bytes."""
+"""Test harness: an edge's HTTP front and worker connections on loopback, with raw workers and clients."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class RawExchange:
-    """One request that a raw worker has read, and the way to answer it."""
+    """One request that a raw worker has read, with methods to answer it."""
 
     head: bytes
     body: bytes
@@ -37,16 +37,16 @@
     connection: int
 
     async def write(self, data: bytes) -> None:
-        """Write bytes of the answer at once."""
+        """Write bytes of the answer without delay."""
         self.writer.write(data)
         await self.writer.drain()
 
     async def answer(self, body: bytes = b"done", status: bytes = b"200 OK", headers: bytes = SEAL) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         await self.write(self.answer_bytes(body, status, headers))
 
     def answer_bytes(self, body: bytes = b"done", status: bytes = b"200 OK", headers: bytes = SEAL) -> bytes:
-        """The bytes of a whole answer."""
+        """Returns the bytes of a complete answer."""
         return (
             b"HTTP/1.1 %s\r\nX-Attempt-Id: %s\r\n%sContent-Length: %d\r\n\r\n"
             % (status, self.attempt_id, headers, len(body))
@@ -54,12 +54,12 @@
         )
 
     def reset(self) -> None:
-        """Break the connection."""
+        """Reset the connection."""
         self.writer.transport.abort()
 
 
 class RawWorker:
-    """A worker that answers as its script says; scripts are taken in turn, the last one for good."""
+    """A worker that answers each request by the next script; the last script is used repeatedly."""
 
     def __init__(self, *scripts: Serve) -> None:
         self._scripts = list(scripts)
@@ -71,7 +71,7 @@
         self.closed = asyncio.Event()
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on a free port of the loopback address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -101,7 +101,7 @@
 
 
 def field_of(head: bytes, name: bytes) -> bytes | None:
-    """The value of a header in the bytes of a head."""
+    """Returns the value of a header (name in lower case) in the bytes of a head, or None."""
     for line in head.split(b"\r\n")[1:]:
         key, _, value = line.partition(b":")
         if key.strip().lower() == name:
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class RawAnswer:
-    """What a raw client read: its head, body, and whether the body came whole."""
+    """An answer that a raw client read; `complete` is False if the body was truncated."""
 
     status: int
     head: bytes
@@ -128,7 +128,7 @@
 
     @classmethod
     async def connect(cls, address: str) -> RawClient:
-        """Connect to an edge."""
+        """Connect to an edge at HOST:PORT."""
         host, port = address.rsplit(":", 1)
         return cls(*await asyncio.open_connection(host, int(port)))
 
@@ -152,7 +152,7 @@
                 return RawAnswer(status, head, error.partial, False)
 
     async def read_part(self) -> bytes:
-        """One chunk of a body."""
+        """Read one chunk of a body."""
         async with asyncio.timeout(5):
             size = int((await self.reader.readuntil(b"\r\n")).strip(), 16)
             return (await self.reader.readexactly(size + 2))[:-2]
@@ -167,14 +167,14 @@
         return body, True
 
     def close(self) -> None:
-        """Leave."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
 def request_bytes(
     path: str, attempt: str, *headers: str, body: bytes = b"", method: str = "POST", host: str = HOST
 ) -> bytes:
-    """The bytes of a client's request."""
+    """Returns the bytes of a client's request."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", f"X-Attempt-Id: {attempt}", *headers]
     lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
@@ -182,7 +182,7 @@
 
 @dataclass(slots=True)
 class LoopbackEdge:
-    """A front and worker connections round a forwarder, without control nodes."""
+    """A forwarder with its front and worker connections, without control nodes."""
 
     routes: list[dict[str, Any]]
     limits: dict[str, Any] = field(default_factory=dict)
@@ -194,7 +194,7 @@
     async def start(
         self, opened: socket.socket | None = None, **workers: tuple[str, RawWorker]
     ) -> LoopbackEdge:
-        """Start workers, named by instance with their service, and the edge (at an open socket)."""
+        """Start the workers, given as (service, worker) by instance, and the edge, at `opened` if given."""
         loop = asyncio.get_running_loop()
         self.workers = workers
         updates: list[Any] = [configuration_update(configuration(self.routes, **self.limits))]
@@ -235,7 +235,7 @@
         return await RawClient.connect(self.address)
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop the edge and the workers."""
         assert self.front is not None and self.connections is not None
         await self.front.stop(0.1)
         self.connections.keep_only(set())
@@ -268,19 +268,19 @@
     return b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\n%s\r\n" % (exchange.attempt_id, CHUNKED)
 
 
-def play(story: Callable[[], Awaitable[None]]) -> None:
-    """Run a story on loopback, on the loop that the program uses, with a bound on its time."""
+def play(scenario: Callable[[], Awaitable[None]]) -> None:
+    """Run a scenario on uvloop, the event loop of the program, with a timeout."""
 
     async def bounded() -> None:
         async with asyncio.timeout(10):
-            await story()
+            await scenario()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(bounded())
 
 
-def age(edge: LoopbackEdge, seconds: float, pools: bool = True) -> None:
-    """Let all exchanges (and instances) have been silent for so long."""
+def backdate_activity(edge: LoopbackEdge, seconds: float, pools: bool = True) -> None:
+    """Move the last activity of all exchanges, and of instances with `pools`, back by `seconds`."""
     assert edge.connections is not None
     for pool in edge.connections.pools.values():
         pool.last_activity_s -= seconds if pools else 0.0
--- a/tests/system/edge_stories.py
+++ b/tests/system/edge_stories.py
@@ -1,4 +1,4 @@
-"""An edge's forwarder among scripted workers, in memory: the stage of the stories about requests."""
+"""Test harness: an edge's forwarder with scripted workers, in memory and in virtual time."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def route(name: str, prefix: str, service: str, kind: str, **more: Any) -> dict[str, Any]:
-    """A route of a configuration, as the operator writes it."""
+    """Returns a route as it is written in a configuration document."""
     return {
         "name": name,
         "hostname": HOST,
@@ -60,7 +60,7 @@
 
 
 def configuration(routes: list[dict[str, Any]], version: int = 1, **limits: Any) -> dict[str, Any]:
-    """A configuration with these routes and the services that they name."""
+    """Returns a configuration with these routes and the services that they name."""
     names = {item["targetService"] for item in routes if "targetService" in item}
     names |= {part["targetService"] for item in routes for part in item.get("trafficSplit", ())}
     services = [
@@ -79,25 +79,29 @@
 
 
 def worker(instance: str, service: str, state: str = "available", call: int = 1) -> WorkerRecord:
-    """A worker's record; workers of `models` hold the model m1."""
+    """Returns a worker's record; workers of the service `models` have loaded the model m1."""
     models = (HeldModel("m1"),) if service == "models" else ()
     return WorkerRecord(instance, service, f"{instance}:80", "z1", "v1", 8, state, models, call)
 
 
 def response(*updates: Any, current: bool = True, edges: int = 4, state: int = 0) -> PullResponse:
-    """An answer of a control node to a pull."""
+    """Returns the answer of a control node to a pull."""
     vector = {STATE_ORIGIN: state} if state else {}
     return PullResponse(current, ClusterView(1, "a", (), edges), vector, tuple(updates))
 
 
 def configuration_update(document: dict[str, Any], sequence: int = 1) -> ConfigurationUpdate:
-    """A committed configuration."""
+    """Returns the update for a committed configuration."""
     return ConfigurationUpdate(sequence, document["version"], json.dumps(document).encode())
 
 
 @dataclass(slots=True)
 class ScriptedAnswer:
-    """What a scripted worker answers: `chunks` are (pause in seconds, bytes); then it ends or breaks off."""
+    """A scripted answer of a worker.
+
+    `chunks` are pairs of the pause before a chunk, in seconds, and its bytes. With `breaks` the body is
+    interrupted after the last chunk.
+    """
 
     status: int = 200
     headers: RawHeaders = ((b"X-Server-Seal", b"seal"),)
@@ -124,7 +128,7 @@
 
 
 def answers(*scripted: ScriptedAnswer | SendFailure, after_s: float = 0.01) -> Script:
-    """A worker that gives these answers in turn, the last one again and again."""
+    """Returns a script that gives these answers in turn, and the last one repeatedly."""
     turns = list(scripted)
 
     async def script(request: WorkerRequest) -> ScriptedAnswer | SendFailure:
@@ -135,30 +139,30 @@
 
 
 async def silent(request: WorkerRequest) -> ScriptedAnswer | SendFailure:
-    """A worker that never answers."""
+    """The script of a worker that never answers."""
     await asyncio.Event().wait()
     return SendFailure.LOST
 
 
 def whole(body: bytes = b"done", status: int = 200, *headers: tuple[bytes, bytes]) -> ScriptedAnswer:
-    """A whole answer with a seal."""
+    """Returns a complete answer with a seal."""
     return ScriptedAnswer(status, ((b"X-Server-Seal", b"seal"), *headers), ((0.0, body),) if body else ())
 
 
 def rejected(status: int = 503) -> ScriptedAnswer:
-    """An answer that says the request did not run."""
+    """Returns an answer which states that the request did not run."""
     return ScriptedAnswer(status, ((b"X-Not-Executed", b"1"),))
 
 
 def event(number: int) -> bytes:
-    """One event of a stream."""
+    """Returns one event of a stream."""
     return b"id: %d\ndata: token %d\n\n" % (number, number)
 
 
 def events(
     first: int, last: int, pause_s: float = 0.02, breaks: bool = False, seal: bytes = b"seal"
 ) -> ScriptedAnswer:
-    """A stream with the events from `first` to `last`."""
+    """Returns a stream with the events from `first` to `last`."""
     chunks = tuple((pause_s, event(number)) for number in range(first, last + 1))
     return stream(chunks, breaks, seal)
 
@@ -166,14 +170,14 @@
 def stream(
     chunks: tuple[tuple[float, bytes], ...], breaks: bool = False, seal: bytes = b"seal"
 ) -> ScriptedAnswer:
-    """A stream with these chunks."""
+    """Returns a stream with these chunks."""
     headers = ((b"X-Server-Seal", seal), (b"Content-Type", b"text/event-stream"))
     return ScriptedAnswer(200, headers, chunks, breaks)
 
 
 @dataclass(slots=True)
 class ScriptedWorkers:
-    """Implements `WorkerTransport`: each instance answers by its script."""
+    """A `WorkerTransport` whose instances answer by their scripts."""
 
     scripts: dict[str, Script] = field(default_factory=dict)
     arrivals: list[tuple[str, WorkerRequest]] = field(default_factory=list)
@@ -191,13 +195,13 @@
         return Ok(scripted)
 
     def receivers(self) -> list[str]:
-        """The instances that were sent something, in order."""
+        """Returns the instances that received requests, in order."""
         return [instance for instance, _ in self.arrivals]
 
 
 @dataclass(slots=True)
 class RecordedAnswer:
-    """What a client got, and when (seconds of virtual time)."""
+    """The answer that a client received, with times in seconds of virtual time."""
 
     status: int | None = None
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
@@ -235,7 +239,7 @@
         self.ended_s = asyncio.get_running_loop().time()
 
     def header(self, name: str) -> str | None:
-        """The first header of this name."""
+        """Returns the value of the first header with this name, or None."""
         for key, value in self.headers:
             if key.decode().lower() == name.lower():
                 return value.decode()
@@ -248,7 +252,7 @@
 
 
 class EdgeStory:
-    """A forwarder that knows a configuration and workers."""
+    """A forwarder with a configuration and scripted workers."""
 
     def __init__(
         self,
@@ -285,7 +289,7 @@
             self.tell(*updates)
 
     def tell(self, *updates: Any, **more: Any) -> None:
-        """Let a control node tell the edge something."""
+        """Apply updates from a control node."""
         self.tables.take(response(*updates, **more))
         now_s = self.loop.time()
         self.selector.apply_workers(tuple(self.tables.snapshot.workers.values()), now_s)
@@ -295,11 +299,11 @@
         self.forwarder.workers_changed()
 
     def depart(self, instance: str, state: str = "draining") -> None:
-        """Let a control node tell that a worker leaves."""
+        """Apply an update which states that a worker is leaving."""
         self.tell(DepartureUpdate(2, instance, state))
 
     def request(self, path: str, *headers: tuple[bytes, bytes], body: bytes = b"") -> ClientRequest:
-        """A client's request to this path."""
+        """Returns a client's request to this path."""
         self._requests += 1
         base = (
             (b"Host", HOST.encode()),
@@ -310,7 +314,7 @@
         return ClientRequest("POST", path, HOST, base + headers, body, self.loop.time())
 
     async def ask(self, path: str, *headers: tuple[bytes, bytes], body: bytes = b"") -> RecordedAnswer:
-        """Send a request and wait for the end of its answer."""
+        """Forward a request and return its complete or aborted answer."""
         answer = RecordedAnswer()
         await self.forwarder.forward(self.request(path, *headers, body=body), answer)
         assert answer.complete or answer.aborted
--- a/tests/system/misbehaving_workers.py
+++ b/tests/system/misbehaving_workers.py
@@ -1,4 +1,4 @@
-"""A worker that speaks HTTP badly on purpose, over a transport in memory or over a socket."""
+"""Test harness: a worker that violates HTTP, over an in-memory transport or a socket."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     "answer",
     "twice",
     "late",
-    "for somebody else first",
+    "other answer first",
     "early",
     "without a length",
     "refuse",
@@ -25,50 +25,50 @@
     "reset unread",
     "fail",
 )
-SURPLUS_S = 0.03  # until a second answer comes
-LATE_S = 0.4
+SECOND_ANSWER_DELAY_S = 0.03
+LATE_ANSWER_DELAY_S = 0.4
 
 
 @dataclass
 class WorkerScript:
-    """What all connections of the workers share: the next behaviours, and what was run."""
+    """State shared by all connections of the workers: the next behaviours, and the requests that ran."""
 
-    draw: random.Random
+    rng: random.Random
     behaviours: list[str] = field(default_factory=list)
     runs: Counter[str] = field(default_factory=Counter)
     arrivals: Counter[str] = field(default_factory=Counter)
 
     def next_behaviour(self) -> str:
-        """How the next request is treated."""
+        """Returns the behaviour for the next request."""
         return self.behaviours.pop(0) if self.behaviours else "answer"
 
 
-def answer(attempt: str, status: int = 200, more: bytes = b"") -> bytes:
-    """A whole answer that carries the attempt's id in its head and as its body."""
+def answer(attempt: str, status: int = 200, extra_headers: bytes = b"") -> bytes:
+    """Returns a complete answer with the attempt's id as a header and as its body."""
     body = attempt.encode()
     head = b"HTTP/1.1 %d X\r\nX-Attempt-Id: %s\r\n" % (status, body)
-    return head + SEAL + more + b"Content-Length: %d\r\n\r\n" % len(body) + body
+    return head + SEAL + extra_headers + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
 class MisbehavingWorker(asyncio.Protocol):
-    """One connection of such a worker."""
+    """One connection of a misbehaving worker."""
 
     def __init__(self, script: WorkerScript) -> None:
         self._script = script
         self._buffer = b""
         self._transport: Any = None
-        self._last: str | None = None
-        self._broken_off = False  # in the midst of an answer: what came now would be taken for its rest
+        self._last_attempt: str | None = None
+        self._broken_off = False  # within an answer: further bytes would be parsed as its body
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        while self._take_one():
+        while self._serve_buffered_request():
             pass
 
-    def _take_one(self) -> bool:
+    def _serve_buffered_request(self) -> bool:
         head, separator, rest = self._buffer.partition(b"\r\n\r\n")
         if not separator:
             return False
@@ -85,59 +85,59 @@
         self._script.arrivals[attempt] += 1
         if behaviour not in ("refuse", "reset unread"):
             self._script.runs[attempt] += 1
-        acts: dict[str, Callable[[str], None]] = {
+        actions: dict[str, Callable[[str], None]] = {
             "answer": lambda it: self._send(answer(it)),
             "early": lambda it: self._send(answer(it)),
-            "twice": self._twice,
-            "late": lambda it: self._later(LATE_S, answer(it)),
-            "for somebody else first": self._foreign,
-            "without a length": self._unframed,
+            "twice": self._answer_twice,
+            "late": lambda it: self._send_later(LATE_ANSWER_DELAY_S, answer(it)),
+            "other answer first": self._answer_other_first,
+            "without a length": self._answer_without_length,
             "refuse": lambda it: self._send(answer(it, 503, b"X-Not-Executed: 1\r\n")),
             "reset before": lambda _: self._transport.abort(),
             "reset unread": lambda _: self._transport.abort(),
-            "reset in": self._half,
-            "reset after": self._whole_then_reset,
-            "close after": self._whole_then_close,
+            "reset in": self._truncate_then_reset,
+            "reset after": self._answer_then_reset,
+            "close after": self._answer_then_close,
             "fail": lambda it: self._send(answer(it, 500)),
         }
-        acts[behaviour](attempt)
-        self._last = attempt
+        actions[behaviour](attempt)
+        self._last_attempt = attempt
 
     def _send(self, data: bytes) -> None:
         if not self._transport.is_closing() and not self._broken_off:
             self._transport.write(data)
 
-    def _later(self, delay_s: float, data: bytes) -> None:
+    def _send_later(self, delay_s: float, data: bytes) -> None:
         asyncio.get_running_loop().call_later(delay_s, self._send, data)
 
-    def _twice(self, attempt: str) -> None:
+    def _answer_twice(self, attempt: str) -> None:
         self._send(answer(attempt))
-        self._later(SURPLUS_S, answer(attempt))
+        self._send_later(SECOND_ANSWER_DELAY_S, answer(attempt))
 
-    def _foreign(self, attempt: str) -> None:
-        self._send(answer(self._last or "somebody-else") + answer(attempt))
+    def _answer_other_first(self, attempt: str) -> None:
+        self._send(answer(self._last_attempt or "somebody-else") + answer(attempt))
 
-    def _unframed(self, attempt: str) -> None:
+    def _answer_without_length(self, attempt: str) -> None:
         self._send(b"HTTP/1.1 200 X\r\nX-Attempt-Id: %s\r\n%s\r\n" % (attempt.encode(), SEAL))
         self._send(attempt.encode())
         self._transport.close()
 
-    def _half(self, attempt: str) -> None:
+    def _truncate_then_reset(self, attempt: str) -> None:
         self._send(answer(attempt)[:-3])
         self._broken_off = True
-        asyncio.get_running_loop().call_later(SURPLUS_S, self._transport.abort)
+        asyncio.get_running_loop().call_later(SECOND_ANSWER_DELAY_S, self._transport.abort)
 
-    def _whole_then_reset(self, attempt: str) -> None:
+    def _answer_then_reset(self, attempt: str) -> None:
         self._send(answer(attempt))
-        asyncio.get_running_loop().call_later(SURPLUS_S, self._transport.abort)
+        asyncio.get_running_loop().call_later(SECOND_ANSWER_DELAY_S, self._transport.abort)
 
-    def _whole_then_close(self, attempt: str) -> None:
+    def _answer_then_close(self, attempt: str) -> None:
         self._send(answer(attempt, 200, b"Connection: close\r\n"))
         self._transport.close()
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection in memory: what is written arrives at the other end a moment later."""
+    """One end of an in-memory connection, which delivers to the other end after a delay."""
 
     def __init__(self, delay_s: float) -> None:
         super().__init__()
@@ -147,7 +147,7 @@
         self._other: MemoryTransport | None = None
 
     def connect(self, protocol: asyncio.Protocol, other: MemoryTransport) -> None:
-        """Join this end, whose owner is `protocol`, to the other."""
+        """Connect this end, which belongs to `protocol`, to the other end."""
         self._protocol, self._other = protocol, other
         protocol.connection_made(self)
 
@@ -165,10 +165,10 @@
         self._protocol = protocol
 
     def pause_reading(self) -> None:
-        """All is delivered as it comes."""
+        """Has no effect: bytes are always delivered."""
 
     def resume_reading(self) -> None:
-        """All is delivered as it comes."""
+        """Has no effect: bytes are always delivered."""
 
     def write(self, data: Any) -> None:
         if not self._closing and self._other is not None:
@@ -204,7 +204,7 @@
 
 
 class MemoryLoop:
-    """A loop whose `create_connection` leads to misbehaving workers in memory."""
+    """An event loop whose `create_connection` connects to misbehaving workers in memory."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, script: WorkerScript) -> None:
         self._loop = loop
@@ -215,7 +215,7 @@
 
     async def create_connection(self, factory: Any, host: str, port: int) -> tuple[Any, Any]:
         """Connect to a worker."""
-        delay_s = self._script.draw.choice([0.0005, 0.002])
+        delay_s = self._script.rng.choice([0.0005, 0.002])
         ours, theirs = MemoryTransport(delay_s), MemoryTransport(delay_s)
         client = factory()
         theirs.connect(MisbehavingWorker(self._script), ours)
--- a/tests/system/test_connection_machine.py
+++ b/tests/system/test_connection_machine.py
@@ -1,4 +1,4 @@
-"""Any sequence of bad answers: no answer at another caller, nothing that may not be repeated run twice."""
+"""Sequences of invalid answers: no client gets another's answer, and no unrepeatable request runs twice."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from tests.system.virtual_time import VirtualTimeLoop
 
 PATHS = {"once": "/pay/1", "repeatable": "/look/1"}
-PROMISES = (408, 421, 429, 503)
-BOUND_S = 30.0  # against hanging, no measure
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+HANG_TIMEOUT_S = 30.0  # only prevents the test from hanging
 behaviours = st.lists(st.sampled_from(BEHAVIOURS), max_size=6)
 bodies = st.sampled_from([b"", b"x" * 10, b"y" * 200_000])
 
 
 class ConnectionMachine(RuleBasedStateMachine):
-    """An edge's forwarder on its real connections, and workers in memory that misbehave."""
+    """An edge's forwarder on its real connections, with misbehaving workers in memory."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -44,21 +44,21 @@
         self.edge.forwarder._transport = self.connections
 
     @rule(scripted=behaviours, number=st.integers(1, 4), kind=st.sampled_from(list(PATHS)), body=bodies)
-    def ask(self, scripted: list[str], number: int, kind: str, body: bytes) -> None:
-        """Several clients ask at the same time."""
+    def send_requests(self, scripted: list[str], number: int, kind: str, body: bytes) -> None:
+        """Send several requests concurrently."""
         self.script.behaviours = list(scripted)
-        self.loop.run_until_complete(self._ask(number, kind, body))
+        self.loop.run_until_complete(self._send_concurrently(number, kind, body))
 
-    @rule(rest_s=st.sampled_from([0.001, 0.02, 0.5, 3.0]))
-    def rest(self, rest_s: float) -> None:
-        """Time passes: surplus answers come, connections expire."""
-        self.loop.run_until_complete(asyncio.sleep(rest_s))
+    @rule(wait_s=st.sampled_from([0.001, 0.02, 0.5, 3.0]))
+    def wait(self, wait_s: float) -> None:
+        """Let time pass, so that second answers arrive and connections expire."""
+        self.loop.run_until_complete(asyncio.sleep(wait_s))
         self.loop.run_until_complete(self._expire())
 
     async def _expire(self) -> None:
         self.connections.close_expired()
 
-    async def _ask(self, number: int, kind: str, body: bytes) -> None:
+    async def _send_concurrently(self, number: int, kind: str, body: bytes) -> None:
         requests = [self.edge.request(PATHS[kind], body=body) for _ in range(number)]
         answers = [RecordedAnswer() for _ in requests]
         await asyncio.gather(
@@ -71,12 +71,12 @@
     def _check(self, attempt: str, kind: str, answer: RecordedAnswer) -> None:
         assert answer.complete or answer.aborted
         if answer.sealed:
-            assert answer.body == attempt.encode(), "an answer of somebody else"
+            assert answer.body == attempt.encode(), "the answer to another request"
             assert self.script.runs[attempt] >= 1
         if kind == "once":
             assert self.script.runs[attempt] <= 1, "run twice"
-            if answer.status in PROMISES:
-                assert self.script.runs[attempt] == 0, "promised not to have run"
+            if answer.status in NOT_EXECUTED_STATUSES:
+                assert self.script.runs[attempt] == 0, "ran although answered as not executed"
         assert self.script.arrivals[attempt] <= 4
 
     def teardown(self) -> None:
@@ -89,8 +89,10 @@
 
 @settings(max_examples=12, deadline=None)
 @given(st.lists(behaviours, min_size=1, max_size=4))
-def test_given_bad_workers_over_sockets_then_every_answer_is_its_callers(rounds: list[list[str]]) -> None:
-    async def story() -> None:
+def test_given_misbehaving_workers_over_sockets_then_every_answer_reaches_its_own_client(
+    rounds: list[list[str]],
+) -> None:
+    async def scenario() -> None:
         script = WorkerScript(random.Random(1))
         port = free_port()
         loop = asyncio.get_running_loop()
@@ -99,12 +101,12 @@
         edge = EdgeStory(ROUTES, (record,))
         connections = WorkerConnections()
         connections.set_shares({"w1": 4})
-        edge.forwarder._transport = _ToOnePort(connections, f"127.0.0.1:{port}")  # type: ignore[assignment]
+        edge.forwarder._transport = _FixedAddressTransport(connections, f"127.0.0.1:{port}")  # type: ignore[assignment]
         for scripted in rounds:
             script.behaviours = list(scripted)
             requests = [edge.request("/pay/1", body=b"z" * 100_000) for _ in range(3)]
             answers = [RecordedAnswer() for _ in requests]
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 await asyncio.gather(
                     *(edge.forwarder.forward(*pair) for pair in zip(requests, answers, strict=True))
                 )
@@ -114,11 +116,11 @@
                 assert script.runs[attempt] <= 1
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-class _ToOnePort:
-    """Sends to one address, whatever the worker's record says."""
+class _FixedAddressTransport:
+    """Sends to a fixed address instead of that of the worker's record."""
 
     def __init__(self, connections: WorkerConnections, address: str) -> None:
         self._connections = connections
@@ -130,31 +132,31 @@
 
 # The internal channel
 
-PEER_ACTS = ("answer", "twice", "other number", "late", "half", "reset", "rubbish")
+PEER_BEHAVIOURS = ("answer", "twice", "other number", "late", "half", "reset", "garbage")
 
 
-async def _misbehave(
-    acts: list[str], reader: asyncio.StreamReader, writer: asyncio.StreamWriter, seen: list[bytes]
+async def _serve_badly(
+    peer_behaviours: list[str], reader: asyncio.StreamReader, writer: asyncio.StreamWriter, seen: list[bytes]
 ) -> None:
-    """A peer of the channel that treats each call by the next act."""
+    """A channel peer that treats each call by the next behaviour."""
     try:
         while True:
             number, body = await _read_frame(reader)
             seen.append(body.body)
             frame = _frame(number, SubmitResult(200, body.body))
-            act = acts.pop(0) if acts else "answer"
-            if act == "twice":
+            behaviour = peer_behaviours.pop(0) if peer_behaviours else "answer"
+            if behaviour == "twice":
                 writer.write(frame + frame)
-            elif act == "other number":
+            elif behaviour == "other number":
                 writer.write(_frame(number + 1_000, SubmitResult(200, b"not yours")) + frame)
-            elif act == "late":
+            elif behaviour == "late":
                 asyncio.get_running_loop().call_later(0.08, writer.write, frame)
-            elif act == "half":
+            elif behaviour == "half":
                 writer.write(frame[:-2])
                 writer.transport.abort()
-            elif act == "reset":
+            elif behaviour == "reset":
                 writer.transport.abort()
-            elif act == "rubbish":
+            elif behaviour == "garbage":
                 writer.write(b"\xff" * 64)
             else:
                 writer.write(frame)
@@ -163,32 +165,32 @@
 
 
 @settings(max_examples=25, deadline=None)
-@given(st.lists(st.sampled_from(PEER_ACTS), max_size=12), st.integers(1, 6))
-def test_given_a_bad_peer_of_the_channel_then_no_call_gets_another_ones_answer(
-    acts: list[str], together: int
+@given(st.lists(st.sampled_from(PEER_BEHAVIOURS), max_size=12), st.integers(1, 6))
+def test_given_a_misbehaving_channel_peer_then_no_call_gets_the_answer_of_another(
+    peer_behaviours: list[str], concurrent_calls: int
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         seen: list[bytes] = []
-        remaining = list(acts)
+        remaining = list(peer_behaviours)
         server = await asyncio.start_server(
-            lambda reader, writer: _misbehave(remaining, reader, writer, seen), "127.0.0.1", 0
+            lambda reader, writer: _serve_badly(remaining, reader, writer, seen), "127.0.0.1", 0
         )
         host, port = server.sockets[0].getsockname()[:2]
         client = ChannelClient()
         sent = 0
         for _ in range(4):
             calls = []
-            for _ in range(together):
+            for _ in range(concurrent_calls):
                 sent += 1
                 body = b"call-%d" % sent
                 calls.append(_one_call(client, f"{host}:{port}", body))
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(HANG_TIMEOUT_S):
                 await asyncio.gather(*calls)
         assert len(seen) == len(set(seen)), "a call was sent twice"
         client.close()
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 async def _one_call(client: ChannelClient, address: str, body: bytes) -> None:
--- a/tests/system/test_edge_ending.py
+++ b/tests/system/test_edge_ending.py
@@ -1,4 +1,4 @@
-"""What becomes of requests that come, or are under way, while an edge process ends, on loopback."""
+"""Requests that arrive, or are in progress, while an edge process ends."""
 
 from __future__ import annotations
 
@@ -22,82 +22,82 @@
 from tests.system.edge_stories import ROUTES, EdgeStory, answers, events, whole, worker
 from tests.system.virtual_time import run_virtual
 
-GAPS_S = (0.0, 0.003, 0.02, 0.05, 0.09)  # from the end of an answer to the next request of its connection
+GAPS_S = (0.0, 0.003, 0.02, 0.05, 0.09)  # from the end of an answer to the next request on its connection
 STREAM_S = 1.2
-ENDS_S = 2.0  # from the moment at which the front stops until its process ends
-LONG_MS = "X-Deadline-Ms: 60000"
+PROCESS_END_S = 2.0  # from the stop of the front to the end of its process
+LONG_DEADLINE = "X-Deadline-Ms: 60000"
 
 
 async def streaming(exchange: RawExchange) -> None:
-    """A stream of two events that takes STREAM_S."""
+    """Answer with a stream of two events that takes STREAM_S."""
     await exchange.write(stream_head(exchange) + chunk(event(1)))
     await asyncio.sleep(STREAM_S)
     await exchange.write(chunk(event(2)) + b"0\r\n\r\n")
 
 
-async def silent(exchange: RawExchange) -> None:
-    """No answer, for longer than any test lasts."""
+async def never_answers(exchange: RawExchange) -> None:
+    """Send no answer for longer than any test lasts."""
     await asyncio.sleep(60)
 
 
-def is_refused(answer: RawAnswer) -> bool:
-    """Whether it says: not run, come back, on another connection."""
+def is_shutdown_refusal(answer: RawAnswer) -> bool:
+    """Whether the answer is a SHUTTING_DOWN refusal with Retry-After that closes the connection."""
     code = b'"code":%d' % ResultCode.SHUTTING_DOWN
     retry = field_of(answer.head, b"retry-after")
     closes = field_of(answer.head, b"connection") == b"close"
     return answer.status == 503 and code in answer.body and retry is not None and closes
 
 
-async def ending_edge(edge: LoopbackEdge) -> asyncio.Task[None]:
-    """Tell the edge to end; its front stops at once, and the process would end ENDS_S later."""
+async def start_ending(edge: LoopbackEdge) -> asyncio.Task[None]:
+    """Stop the edge's front; the end of its process is planned PROCESS_END_S later."""
     assert edge.front is not None
     edge.front.begin_draining()
-    return asyncio.create_task(edge.front.stop(ENDS_S))
+    return asyncio.create_task(edge.front.stop(PROCESS_END_S))
 
 
-def test_given_a_request_right_after_a_stream_that_outlived_the_listener_then_it_is_not_sent_on() -> None:
+def test_given_a_request_after_a_stream_that_outlasted_the_listener_then_it_is_not_forwarded() -> None:
     async def next_request(gap_s: float) -> None:
         # Given a stream that began before the edge was told to end
         edge, worker = await edge_with(streaming)
         client = await edge.client()
-        await client.send(request_bytes("/draft/1", "a1", LONG_MS))
+        await client.send(request_bytes("/draft/1", "a1", LONG_DEADLINE))
         await asyncio.sleep(0.05)
-        stopping = await ending_edge(edge)
+        stopping = await start_ending(edge)
         assert (await client.read()).complete
-        # When its client sends the next request on the same connection, with more time than the process has
+        # When its client sends the next request on the same connection, with a deadline after the end
         await asyncio.sleep(gap_s)
-        await client.send(request_bytes("/draft/2", "a2", LONG_MS))
-        # Then no worker sees it, and it is refused at once
-        assert is_refused(await client.read())
+        await client.send(request_bytes("/draft/2", "a2", LONG_DEADLINE))
+        # Then it reaches no worker and is refused immediately
+        assert is_shutdown_refusal(await client.read())
         assert len(worker.heads) == 1
         await stopping
         await edge.stop()
 
-    async def story() -> None:
+    async def scenario() -> None:
         await asyncio.gather(*(next_request(gap_s) for gap_s in GAPS_S))
 
-    play(story)
+    play(scenario)
 
 
-def test_given_a_body_that_ends_while_the_process_ends_then_the_request_is_not_sent_on() -> None:
-    async def story() -> None:
-        # Given a request whose head came before the edge was told to end
+def test_given_a_body_that_ends_while_the_process_ends_then_the_request_is_not_forwarded() -> None:
+    async def scenario() -> None:
+        # Given a request whose head arrived before the edge was told to end
         edge, worker = await edge_with(plain)
         client = await edge.client()
-        data = request_bytes("/draft/1", "a1", LONG_MS, body=b"xy")
+        data = request_bytes("/draft/1", "a1", LONG_DEADLINE, body=b"xy")
         await client.send(data[:-1])
         await asyncio.sleep(0.05)
-        stopping = await ending_edge(edge)
-        # When its last byte comes late
+        stopping = await start_ending(edge)
+        # When its last byte arrives after the grace period
         await asyncio.sleep(1.5)
         await client.send(data[-1:])
-        # Then it is refused, unrun
-        assert is_refused(await client.read())
+        # Then it is refused without having run
+        assert is_shutdown_refusal(await client.read())
         assert not worker.heads
         await stopping
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
 async def _answer_of(client: RawClient) -> RawAnswer | None:
@@ -107,37 +107,37 @@
         return None
 
 
-def test_given_a_worker_that_is_still_at_work_when_the_process_ends_then_its_client_gets_an_answer() -> None:
-    async def story() -> None:
-        # Given a request whose worker does not answer for longer than the process has
-        edge, worker = await edge_with(silent)
+def test_given_a_worker_that_has_not_answered_when_the_process_ends_then_its_client_gets_an_answer() -> None:
+    async def scenario() -> None:
+        # Given a request whose worker does not answer before the end of the process
+        edge, worker = await edge_with(never_answers)
         client = await edge.client()
-        await client.send(request_bytes("/pay/1", "a1", LONG_MS))
+        await client.send(request_bytes("/pay/1", "a1", LONG_DEADLINE))
         await asyncio.sleep(0.05)
         # When the process ends
-        stopping = await ending_edge(edge)
-        # Then its client is told that it may have run, rather than nothing
+        stopping = await start_ending(edge)
+        # Then its client gets an answer which states that the request may have run
         answer = await _answer_of(client)
         assert answer is not None and answer.status == 502 and answer.complete
         assert len(worker.heads) == 1
         await stopping
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
 def test_given_a_deadline_before_the_end_of_the_process_then_a_late_request_is_served_and_closes() -> None:
-    async def story() -> None:
-        # Given a stream that outlived the listener
+    async def scenario() -> None:
+        # Given a stream that outlasted the listener
         edge, worker = await edge_with(streaming, plain)
         client = await edge.client()
-        await client.send(request_bytes("/draft/1", "a1", LONG_MS))
+        await client.send(request_bytes("/draft/1", "a1", LONG_DEADLINE))
         await asyncio.sleep(0.05)
-        stopping = await ending_edge(edge)
+        stopping = await start_ending(edge)
         assert (await client.read()).complete
-        # When the next request's own time ends before the process
+        # When the deadline of the next request is before the end of the process
         await client.send(request_bytes("/pay/2", "a2", "X-Deadline-Ms: 300"))
-        # Then it is served, and its client is told to go elsewhere afterwards
+        # Then it is served, and its connection is closed afterwards
         answer = await client.read()
         assert answer.status == 200 and answer.complete
         assert field_of(answer.head, b"connection") == b"close"
@@ -145,77 +145,75 @@
         await stopping
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_given_an_answer_that_begins_after_draining_began_then_it_tells_its_client_to_close() -> None:
+def test_given_an_answer_that_starts_after_draining_began_then_its_connection_is_closed() -> None:
     async def slow(exchange: RawExchange) -> None:
         await asyncio.sleep(0.2)
         await exchange.answer()
 
-    async def story() -> None:
+    async def scenario() -> None:
         # Given a request that was read before the edge was told to end
         edge, _ = await edge_with(slow)
         assert edge.front is not None
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1"))
         await asyncio.sleep(0.05)
-        # When its answer begins afterwards
+        # When its answer starts afterwards
         edge.front.begin_draining()
-        # Then it says that the connection ends with it
+        # Then the answer closes the connection
         assert field_of((await client.read()).head, b"connection") == b"close"
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_given_a_request_that_waits_for_its_model_when_the_process_ends_then_it_is_refused_unrun() -> None:
-    async def story() -> None:
-        # Given an edge on which nobody holds the model, and a request that waits for it
+def test_given_a_request_that_waits_for_its_model_when_the_process_ends_then_it_is_refused() -> None:
+    async def scenario() -> None:
+        # Given a request that waits for a model that no worker has loaded
         edge = EdgeStory(ROUTES, ())
         waiting = asyncio.create_task(edge.ask("/talk/1"))
         await asyncio.sleep(0.01)
-        # When the process is to end before the wait does
+        # When the process is to end before the wait
         edge.process_end.plan(edge.loop.time() + 0.3)
         answer = await waiting
-        # Then the client is told to come back elsewhere, before the end
+        # Then the client gets a refusal with Retry-After before the end
         assert answer.status == 503 and answer.header("Retry-After") is not None
         assert b"%d" % ResultCode.SHUTTING_DOWN in answer.body
         assert answer.ended_s <= 0.3
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_given_a_planned_end_then_only_what_ends_before_it_is_sent_on_once_the_crossing_time_is_over() -> (
-    None
-):
-    async def story() -> None:
+def test_given_a_planned_end_then_after_the_grace_period_only_earlier_deadlines_are_admitted() -> None:
+    async def scenario() -> None:
         # Given an edge whose process ends in four seconds
         edge = EdgeStory(ROUTES, (worker("w1", "cards"),))
         edge.workers.scripts["w1"] = answers(whole())
         edge.process_end.plan(edge.loop.time() + 4.0)
-        # Then requests that were on their way are taken whatever their deadline is
+        # Then requests within the grace period are admitted whatever their deadline is
         assert (await edge.ask("/pay/1")).status == 200
-        # And later ones only if their deadline comes first
+        # And later ones only if their deadline is before the end
         await asyncio.sleep(0.6)
         assert (await edge.ask("/pay/1", (b"X-Deadline-Ms", b"3000"))).status == 200
         assert (await edge.ask("/pay/1", (b"X-Deadline-Ms", b"3900"))).status == 503
         assert len(edge.workers.arrivals) == 2
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_given_a_stream_under_way_when_the_process_ends_then_it_is_broken_off_and_never_looks_whole() -> None:
-    async def story() -> None:
-        # Given a stream that lasts longer than the process
+def test_given_a_stream_in_progress_when_the_process_ends_then_it_is_aborted() -> None:
+    async def scenario() -> None:
+        # Given a stream that lasts beyond the end of the process
         edge = EdgeStory(ROUTES, (worker("w1", "models"),))
         edge.workers.scripts["w1"] = answers(events(1, 50, pause_s=0.1))
-        streaming_on = asyncio.create_task(edge.ask("/draft/1"))
+        stream_task = asyncio.create_task(edge.ask("/draft/1"))
         await asyncio.sleep(0.5)
         edge.process_end.plan(edge.loop.time() + 1.0)
-        # Then it goes on until the end, and is broken off there
-        answer = await streaming_on
+        # Then it continues until the end, and is aborted there
+        answer = await stream_task
         assert answer.aborted and not answer.complete
         assert answer.ended_s >= 1.3
 
-    run_virtual(story())
+    run_virtual(scenario())
--- a/tests/system/test_edge_forwarding.py
+++ b/tests/system/test_edge_forwarding.py
@@ -1,4 +1,4 @@
-"""Stories about one request at an edge: where it goes, what counts as run, what the client gets."""
+"""Forwarding of single requests at an edge: choice of workers, retries, and the client's answer."""
 
 from __future__ import annotations
 
@@ -26,36 +26,36 @@
 from tests.system.virtual_time import run_virtual
 
 
-def cards(*names: str) -> EdgeStory:
-    """An edge with these card workers."""
+def card_edge(*names: str) -> EdgeStory:
+    """Returns an edge with these workers of the service `cards`."""
     return EdgeStory(ROUTES, tuple(worker(name, "cards") for name in names))
 
 
-def models(*names: str) -> EdgeStory:
-    """An edge with these model workers."""
+def model_edge(*names: str) -> EdgeStory:
+    """Returns an edge with these workers of the service `models`."""
     return EdgeStory(ROUTES, tuple(worker(name, "models") for name in names))
 
 
 ONE_ATTEMPT = route("talk", "/talk/", "models", "streaming", maxAttempts=1)
 
 
-def header_of(request_headers: tuple[tuple[bytes, bytes], ...], name: bytes) -> list[bytes]:
+def header_values(request_headers: tuple[tuple[bytes, bytes], ...], name: bytes) -> list[bytes]:
     return [value for key, value in request_headers if key.lower() == name]
 
 
-def test_before_any_configuration_requests_are_refused_with_a_promise() -> None:
-    async def story() -> None:
+def test_before_any_configuration_requests_are_refused_as_not_executed() -> None:
+    async def scenario() -> None:
         edge = EdgeStory()
         answer = await edge.ask("/pay/1")
         assert answer.status == 503
         assert answer.header("Retry-After") is not None
         assert answer.ended_s <= 0.8 + 0.01
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_request_that_comes_before_the_first_configuration_waits_a_little_for_it() -> None:
-    async def story() -> None:
+def test_a_request_before_the_first_configuration_waits_for_it() -> None:
+    async def scenario() -> None:
         edge = EdgeStory()
         edge.workers.scripts["w1"] = answers(whole())
         task = asyncio.create_task(edge.ask("/pay/1"))
@@ -66,21 +66,21 @@
         assert answer.status == 200
         assert answer.ended_s == pytest.approx(0.51, abs=0.01)
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_an_unknown_path_or_host_gets_404() -> None:
-    async def story() -> None:
-        edge = cards("w1")
+def test_an_unknown_path_gets_404() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1")
         assert (await edge.ask("/nowhere/1")).status == 404
         assert edge.workers.arrivals == []
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
 def test_the_request_reaches_the_worker_unchanged() -> None:
-    async def story() -> None:
-        edge = cards("w1")
+    async def scenario() -> None:
+        edge = card_edge("w1")
         edge.workers.scripts["w1"] = answers(whole())
         path = "/pay/a%2Fb//c?x=%20&y"
         answer = await edge.ask(
@@ -95,31 +95,31 @@
         assert answer.status == 200 and answer.body == b"done" and answer.sealed
         ((instance, sent),) = edge.workers.arrivals
         assert (instance, sent.method, sent.target, sent.body) == ("w1", "POST", path, b"\x00body")
-        assert header_of(sent.headers, b"x-custom") == [b"kept"]
-        assert header_of(sent.headers, b"x-secret") == []
-        assert header_of(sent.headers, b"x-target-instance") == [b"w1"]
-        assert header_of(sent.headers, b"host") == [HOST.encode()]
-        assert header_of(sent.headers, b"x-attempt-id") == [b"attempt-1"]
+        assert header_values(sent.headers, b"x-custom") == [b"kept"]
+        assert header_values(sent.headers, b"x-secret") == []
+        assert header_values(sent.headers, b"x-target-instance") == [b"w1"]
+        assert header_values(sent.headers, b"host") == [HOST.encode()]
+        assert header_values(sent.headers, b"x-attempt-id") == [b"attempt-1"]
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_the_worker_is_told_what_is_left_of_the_deadline() -> None:
-    async def story() -> None:
-        edge = cards("w1", "w2")
+def test_the_worker_gets_the_remaining_time_to_the_deadline() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1", "w2")
         edge.workers.scripts["w1"] = answers(rejected(), after_s=0.3)
         edge.workers.scripts["w2"] = answers(rejected(), after_s=0.3)
         await edge.ask("/pay/1", (b"X-Deadline-Ms", b"1000"))
-        left = [int(header_of(sent.headers, b"x-deadline-ms")[0]) for _, sent in edge.workers.arrivals]
+        left = [int(header_values(sent.headers, b"x-deadline-ms")[0]) for _, sent in edge.workers.arrivals]
         assert left[0] == 1000
         assert 690 <= left[1] <= 700
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_rejected_request_goes_on_to_another_worker() -> None:
-    async def story() -> None:
-        edge = cards("w1", "w2")
+def test_a_rejected_request_is_retried_at_another_worker() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1", "w2")
         edge.workers.scripts["w1"] = answers(rejected())
         edge.workers.scripts["w2"] = answers(rejected())
         answer = await edge.ask("/pay/1")
@@ -127,95 +127,97 @@
         assert answer.status == 503 and not answer.sealed
         assert answer.header("Retry-After") is not None
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
 @pytest.mark.parametrize("lost", [SendFailure.LOST, ScriptedAnswer(200, (), ((0, b"half"),), breaks=True)])
-def test_what_may_have_run_is_not_repeated_and_gets_no_promise(lost: ScriptedAnswer | SendFailure) -> None:
-    async def story() -> None:
-        edge = cards("w1", "w2")
+def test_a_request_that_may_have_run_is_not_repeated_nor_reported_as_not_executed(
+    lost: ScriptedAnswer | SendFailure,
+) -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1", "w2")
         edge.workers.scripts = {"w1": answers(lost), "w2": answers(lost)}
         answer = await edge.ask("/pay/1")
         assert len(edge.workers.arrivals) == 1
         assert answer.status == 502 and not answer.sealed
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
 def test_an_idempotent_request_is_repeated_after_a_loss() -> None:
-    async def story() -> None:
-        edge = cards("w1", "w2")
+    async def scenario() -> None:
+        edge = card_edge("w1", "w2")
         edge.workers.scripts = {"w1": answers(SendFailure.LOST), "w2": answers(SendFailure.LOST)}
         await edge.ask("/look/1")
         assert sorted(edge.workers.receivers()) == ["w1", "w2"]
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
 def test_an_unreachable_worker_counts_as_no_attempt() -> None:
-    async def story() -> None:
-        edge = cards("dead1", "dead2", "dead3", "w1")
+    async def scenario() -> None:
+        edge = card_edge("dead1", "dead2", "dead3", "w1")
         edge.workers.scripts["w1"] = answers(whole())
         for _ in range(8):
             assert (await edge.ask("/pay/1")).status == 200
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_request_to_no_reachable_worker_gets_a_promise() -> None:
-    async def story() -> None:
-        edge = cards("dead1", "dead2")
+def test_a_request_without_a_reachable_worker_is_refused_as_not_executed() -> None:
+    async def scenario() -> None:
+        edge = card_edge("dead1", "dead2")
         assert (await edge.ask("/pay/1")).status == 503
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_failure_of_the_worker_is_passed_on_with_its_seal() -> None:
-    async def story() -> None:
-        edge = cards("w1", "w2")
+def test_a_failure_of_the_worker_is_forwarded_with_its_seal() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1", "w2")
         edge.workers.scripts = {name: answers(whole(b"broken", 500)) for name in ("w1", "w2")}
         answer = await edge.ask("/pay/1")
         assert (answer.status, answer.body, answer.sealed) == (500, b"broken", True)
         assert len(edge.workers.arrivals) == 1
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_an_unproven_503_of_a_worker_is_no_promise_to_the_client() -> None:
-    async def story() -> None:
-        edge = cards("w1", "w2")
+def test_an_unconfirmed_503_of_a_worker_is_not_forwarded_as_not_executed() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1", "w2")
         edge.workers.scripts = {name: answers(whole(b"busy", 503)) for name in ("w1", "w2")}
         answer = await edge.ask("/pay/1")
         assert answer.status == 502 and not answer.sealed
         assert len(edge.workers.arrivals) == 1
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_silent_worker_ends_in_504_at_the_deadline() -> None:
-    async def story() -> None:
-        edge = cards("w1")
+def test_an_unresponsive_worker_leads_to_a_504_at_the_deadline() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1")
         edge.workers.scripts["w1"] = silent
         answer = await edge.ask("/pay/1", (b"X-Deadline-Ms", b"700"))
         assert answer.status == 504
         assert answer.ended_s == pytest.approx(0.7, abs=0.01)
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
 def test_the_routes_timeout_bounds_a_longer_deadline() -> None:
-    async def story() -> None:
-        edge = cards("w1")
+    async def scenario() -> None:
+        edge = card_edge("w1")
         edge.workers.scripts["w1"] = silent
         answer = await edge.ask("/pay/1", (b"X-Deadline-Ms", b"60000"))
         assert answer.ended_s == pytest.approx(4.0, abs=0.01)
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_draining_worker_gets_nothing_more_even_from_older_news() -> None:
-    async def story() -> None:
-        edge = cards("w1")
+def test_a_draining_worker_gets_no_requests_even_after_an_update_from_another_origin() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1")
         edge.workers.scripts["w1"] = answers(whole())
         edge.depart("w1")
         assert (await edge.ask("/pay/1")).status == 503
@@ -223,11 +225,11 @@
         assert (await edge.ask("/pay/1")).status == 503
         assert edge.workers.arrivals == []
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
 def test_the_split_follows_the_weights() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         split = [{"targetService": "a", "weight": 90}, {"targetService": "b", "weight": 10}]
         shared = route("shared", "/s/", "a", "idempotent", trafficSplit=split)
         del shared["targetService"]
@@ -237,12 +239,12 @@
             await edge.ask("/s/1")
         assert 10 <= edge.workers.receivers().count("wb") <= 55
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_request_that_waits_for_its_model_goes_out_when_a_worker_has_it() -> None:
-    async def story() -> None:
-        edge = models()
+def test_a_request_that_waits_for_its_model_is_sent_when_a_worker_has_it() -> None:
+    async def scenario() -> None:
+        edge = model_edge()
         edge.workers.scripts["m1"] = answers(events(1, 1))
         task = asyncio.create_task(edge.ask("/talk/1"))
         await asyncio.sleep(0.4)
@@ -251,62 +253,62 @@
         assert answer.complete
         assert answer.ended_s == pytest.approx(0.43, abs=0.01)
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_later_configuration_replaces_the_routes_and_an_older_one_never_does() -> None:
-    async def story() -> None:
-        edge = cards("w1")
+def test_a_later_configuration_replaces_the_routes_and_an_older_one_does_not() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1")
         edge.workers.scripts["w1"] = answers(whole())
-        fresh = configuration([route("new", "/new/", "cards", "idempotent")], version=5)
-        edge.tell(configuration_update(fresh, sequence=7))
+        new_configuration = configuration([route("new", "/new/", "cards", "idempotent")], version=5)
+        edge.tell(configuration_update(new_configuration, sequence=7))
         assert (await edge.ask("/pay/1")).status == 404
         assert (await edge.ask("/new/1")).status == 200
         edge.tell(configuration_update(configuration(ROUTES, version=1), sequence=3))
         assert (await edge.ask("/pay/1")).status == 404
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_a_newcomer_takes_nothing_from_a_control_node_that_is_not_current() -> None:
-    async def story() -> None:
+def test_a_new_edge_ignores_a_control_node_that_is_not_current() -> None:
+    async def scenario() -> None:
         edge = EdgeStory()
         edge.tell(configuration_update(configuration(ROUTES)), current=False)
         assert (await edge.ask("/pay/1")).status == 503
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_the_retry_budget_ends_the_repeats() -> None:
-    async def story() -> None:
-        edge = cards("w1", "w2")
+def test_the_retry_budget_limits_the_repeats() -> None:
+    async def scenario() -> None:
+        edge = card_edge("w1", "w2")
         edge.workers.scripts = {name: answers(rejected(), after_s=0.0) for name in ("w1", "w2")}
         for _ in range(200):
             await edge.ask("/look/1")
         repeats = len(edge.workers.arrivals) - 200
         assert 0 < repeats <= 0.2 * 200 + 50 / 4
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_given_a_load_that_ends_a_little_late_then_its_request_is_sent_again_and_served() -> None:
-    async def story() -> None:
-        # Given a worker that does not hold the model yet when the request comes, though it was said to
+def test_given_a_load_that_ends_late_then_its_request_is_retried_and_served() -> None:
+    async def scenario() -> None:
+        # Given a worker that, unlike its record, has not loaded the model when the request arrives
         edge = EdgeStory(
             [route("talk", "/talk/", "models", "streaming", maxAttempts=1)], (worker("w1", "models"),)
         )
         edge.workers.scripts["w1"] = answers(rejected(421), rejected(421), events(1, 2))
-        # When it is asked
+        # When the request is forwarded
         answer = await edge.ask("/talk/1")
-        # Then it is asked again until it does; the refusals cost no attempt
+        # Then it is retried there until the model is loaded; misdirections do not count as attempts
         assert answer.status == 200 and answer.complete
         assert edge.workers.receivers() == ["w1", "w1", "w1"]
 
-    run_virtual(story())
+    run_virtual(scenario())
 
 
-def test_given_a_worker_that_never_holds_the_class_then_the_request_is_refused_in_the_end() -> None:
-    async def story() -> None:
+def test_given_a_worker_that_never_has_the_model_then_the_request_is_refused() -> None:
+    async def scenario() -> None:
         edge = EdgeStory(
             [route("talk", "/talk/", "models", "streaming", maxAttempts=1)], (worker("w1", "models"),)
         )
@@ -315,4 +317,4 @@
         assert answer.status == 503 and not answer.sealed
         assert len(edge.workers.arrivals) <= 5
 
-    run_virtual(story())
+    run_virtual(scenario())
--- a/tests/system/test_edge_http.py
+++ b/tests/system/test_edge_http.py
@@ -1,4 +1,4 @@
-"""Requests and answers at an edge on loopback: bytes in every shape that clients and workers may send."""
+"""HTTP requests and answers at an edge on loopback, both valid and invalid ones."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 @pytest.mark.parametrize(
     "path", ["/pay/a%2Fb//c?x=%20&y", "/pay/?", "/pay/%7e/~/..;x?q=%zz#f", "/pay/%C3%A9"]
 )
-def test_the_raw_target_and_the_body_reach_the_worker_byte_for_byte(path: str) -> None:
-    async def story() -> None:
+def test_the_raw_target_and_the_body_reach_the_worker_unchanged(path: str) -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain)
         client = await edge.client()
         body = bytes(range(256)) * 40
@@ -34,11 +34,11 @@
         assert worker.bodies == [body]
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_request_that_comes_byte_by_byte_is_served() -> None:
-    async def story() -> None:
+def test_a_request_received_byte_by_byte_is_served() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain)
         client = await edge.client()
         for byte in request_bytes("/pay/1", "a1", body=b"xyz"):
@@ -47,11 +47,11 @@
         assert worker.bodies == [b"xyz"]
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_chunked_request_arrives_whole() -> None:
-    async def story() -> None:
+def test_a_chunked_request_arrives_complete() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain)
         client = await edge.client()
         head = b"POST /pay/1 HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a1\r\n"
@@ -61,11 +61,11 @@
         assert worker.bodies == [b"abcd"]
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_request_without_an_id_is_answered_by_the_edge() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain)
         client = await edge.client()
         await client.send(b"POST /pay/1 HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\n\r\n")
@@ -73,11 +73,11 @@
         assert worker.heads == []
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_pipelined_requests_are_answered_in_turn() -> None:
-    async def story() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain)
         client = await edge.client()
         await client.send(b"".join(request_bytes("/pay/1", f"a{n}") for n in range(5)))
@@ -87,11 +87,11 @@
         assert len(worker.heads) == 5
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_connections_to_a_worker_are_used_again() -> None:
-    async def story() -> None:
+def test_connections_to_a_worker_are_reused() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain)
         client = await edge.client()
         for number in range(5):
@@ -100,15 +100,15 @@
         assert worker.connections == 1
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_connection_that_its_worker_soon_closes_is_not_used_again() -> None:
-    async def soon(exchange: RawExchange) -> None:
+def test_a_connection_that_its_worker_soon_closes_is_not_reused() -> None:
+    async def closes_soon(exchange: RawExchange) -> None:
         await exchange.answer(headers=SEAL + b"Keep-Alive: timeout=1\r\n")
 
-    async def story() -> None:
-        edge, worker = await edge_with(soon)
+    async def scenario() -> None:
+        edge, worker = await edge_with(closes_soon)
         client = await edge.client()
         for number in range(3):
             await client.send(request_bytes("/pay/1", f"a{number}"))
@@ -116,15 +116,15 @@
         assert worker.connections == 3
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_late_second_answer_reaches_nobody() -> None:
+def test_a_late_second_answer_reaches_no_client() -> None:
     async def twice(exchange: RawExchange) -> None:
         await exchange.answer(b"first")
         await exchange.answer(b"surplus")
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(twice, plain)
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1"))
@@ -136,15 +136,15 @@
         assert worker.connections == 2
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_surplus_answer_in_the_place_of_the_next_one_is_skipped() -> None:
+def test_an_answer_to_another_request_before_the_expected_one_is_skipped() -> None:
     async def late(exchange: RawExchange) -> None:
         surplus = exchange.answer_bytes(b"surplus").replace(exchange.attempt_id, b"other")
         await exchange.write(surplus + exchange.answer_bytes(b"own"))
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(late, plain)
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1"))
@@ -154,17 +154,17 @@
         assert worker.connections == 2
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-@pytest.mark.parametrize("spoilt", [b"garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Le", b""])
-def test_bytes_that_are_no_answer_never_reach_the_client(spoilt: bytes) -> None:
-    async def spoil(exchange: RawExchange) -> None:
-        await exchange.write(spoilt)
+@pytest.mark.parametrize("invalid", [b"garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Le", b""])
+def test_invalid_answers_never_reach_the_client(invalid: bytes) -> None:
+    async def answer_invalid(exchange: RawExchange) -> None:
+        await exchange.write(invalid)
         exchange.writer.close()
 
-    async def story() -> None:
-        edge, _ = await edge_with(spoil)
+    async def scenario() -> None:
+        edge, _ = await edge_with(answer_invalid)
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1"))
         answer = await client.read()
@@ -172,30 +172,30 @@
         assert field_of(answer.head, b"x-server-seal") is None
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_an_answer_without_a_length_is_no_whole_answer() -> None:
+def test_an_answer_without_a_length_is_not_accepted() -> None:
     async def unbounded(exchange: RawExchange) -> None:
         await exchange.write(b"HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\n" + SEAL + b"\r\npart")
         exchange.writer.close()
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(unbounded)
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1"))
         assert (await client.read()).status == 502
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_short_body_becomes_a_failure_without_seal() -> None:
+def test_a_truncated_body_becomes_a_failure_without_seal() -> None:
     async def short(exchange: RawExchange) -> None:
         await exchange.write(exchange.answer_bytes(b"0123456789")[:-3])
         exchange.writer.close()
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(short)
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1"))
@@ -203,11 +203,11 @@
         assert answer.status == 502 and field_of(answer.head, b"x-server-seal") is None
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_limits_of_the_configuration_hold() -> None:
-    async def story() -> None:
+def test_limits_of_the_configuration_are_enforced() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain, maxHeaderBytes=400, maxBodyBytes=10)
         client = await edge.client()
         await client.send(request_bytes("/pay/1", "a1", body=b"x" * 11))
@@ -221,14 +221,14 @@
         assert len(worker.heads) == 1
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_worker_that_closes_is_not_sent_more_on_that_connection() -> None:
+def test_a_connection_that_its_worker_closes_is_not_reused() -> None:
     async def last(exchange: RawExchange) -> None:
         await exchange.answer(headers=SEAL + b"Connection: close\r\n")
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(last, plain)
         client = await edge.client()
         for number in range(2):
@@ -237,18 +237,18 @@
         assert worker.connections == 2
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-# Guards against: the last trailer of an answer becomes the first header of the next one on its connection,
-# so that a request which ran counts as not run (TWICE, REFUSED).
-def test_a_connection_on_which_a_worker_sent_trailers_is_not_used_again() -> None:
+# Guards against this: the parser reports the last trailer of an answer as the first header of the next one on
+# the connection, so that a request which ran counts as not executed (TWICE, REFUSED).
+def test_a_connection_on_which_a_worker_sent_trailers_is_not_reused() -> None:
     async def with_trailer(exchange: RawExchange) -> None:
         head = b"HTTP/1.1 200 OK\r\nX-Attempt-Id: " + exchange.attempt_id + b"\r\n" + SEAL
         body = b"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-Not-Executed: 1\r\n\r\n"
         exchange.writer.write(head + body)
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(with_trailer, plain)
         client = await edge.client()
         for number in range(2):
@@ -257,11 +257,11 @@
         assert worker.connections == 2
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_worker_that_resets_new_connections_did_not_run_the_request() -> None:
-    async def story() -> None:
+def test_a_request_to_a_worker_that_accepts_no_connections_is_refused_as_not_executed() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(plain)
         worker.stop()
         client = await edge.client()
@@ -271,4 +271,4 @@
         assert field_of(answer.head, b"retry-after") is not None
         await edge.stop()
 
-    play(story)
+    play(scenario)
--- a/tests/system/test_edge_http_streams.py
+++ b/tests/system/test_edge_http_streams.py
@@ -10,7 +10,7 @@
 from arrowfold.node.logs import RateLimitedLog
 from tests.system.edge_loopback import (
     RawExchange,
-    age,
+    backdate_activity,
     chunk,
     edge_with,
     event,
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_a_stream_that_breaks_off_is_never_complete(reset: bool) -> None:
+def test_an_interrupted_stream_is_never_complete(reset: bool) -> None:
     async def broken(exchange: RawExchange) -> None:
         await exchange.write(stream_head(exchange) + chunk(event(1)) + chunk(b"id: 2\nda"))
         await asyncio.sleep(0.05)
@@ -32,7 +32,7 @@
         else:
             exchange.writer.close()
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(broken)
         client = await edge.client()
         await client.send(request_bytes("/draft/1", "a1"))
@@ -42,35 +42,35 @@
         assert not answer.complete
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_each_event_is_passed_on_before_the_next_comes() -> None:
-    turn = asyncio.Event()
+def test_each_event_is_forwarded_before_the_next_arrives() -> None:
+    event_was_read = asyncio.Event()
 
     async def stepwise(exchange: RawExchange) -> None:
         await exchange.write(stream_head(exchange))
         for number in range(1, 4):
             await exchange.write(chunk(event(number)))
-            await turn.wait()
-            turn.clear()
+            await event_was_read.wait()
+            event_was_read.clear()
         await exchange.write(b"0\r\n\r\n")
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, _ = await edge_with(stepwise)
         client = await edge.client()
         await client.send(request_bytes("/talk/1", "a1"))
         await client.reader.readuntil(b"\r\n\r\n")
         for number in range(1, 4):
             assert await client.read_part() == event(number)
-            turn.set()
+            event_was_read.set()
         assert await client.read_part() == b""
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_client_that_leaves_closes_the_connection_to_the_worker() -> None:
+def test_a_client_disconnect_closes_the_connection_to_the_worker() -> None:
     async def endless(exchange: RawExchange) -> None:
         await exchange.write(stream_head(exchange))
         number = 0
@@ -79,7 +79,7 @@
             await exchange.write(chunk(event(number)))
             await asyncio.sleep(0.01)
 
-    async def story() -> None:
+    async def scenario() -> None:
         edge, worker = await edge_with(endless)
         client = await edge.client()
         await client.send(request_bytes("/talk/1", "a1"))
@@ -88,56 +88,56 @@
         await worker.closed.wait()
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-@pytest.mark.parametrize(("path", "broken_off"), [("/talk/1", True), ("/draft/1", False)])
-def test_only_what_may_run_again_is_broken_off_at_a_dark_worker(path: str, broken_off: bool) -> None:
-    async def stalls(exchange: RawExchange) -> None:
+@pytest.mark.parametrize(("path", "is_reset"), [("/talk/1", True), ("/draft/1", False)])
+def test_only_retryable_requests_are_reset_at_an_unresponsive_worker(path: str, is_reset: bool) -> None:
+    async def stall_after_first_event(exchange: RawExchange) -> None:
         await exchange.write(stream_head(exchange) + chunk(event(1)))
         await asyncio.sleep(5)
 
-    async def goes_on(exchange: RawExchange) -> None:
+    async def resume_after_first_event(exchange: RawExchange) -> None:
         assert field_of(exchange.head, b"last-event-id") == b"1"
         await exchange.write(stream_head(exchange) + chunk(event(2)) + b"0\r\n\r\n")
 
-    async def dark(address: str) -> bool:
+    async def never_responsive(address: str) -> bool:
         return False
 
-    async def story() -> None:
-        edge, worker = await edge_with(stalls, goes_on)
+    async def scenario() -> None:
+        edge, worker = await edge_with(stall_after_first_event, resume_after_first_event)
         assert edge.connections is not None
         client = await edge.client()
         await client.send(request_bytes(path, "a1"))
         await client.reader.readuntil(b"\r\n\r\n")
         assert await client.read_part() == event(1)
-        watch = StalledExchangeWatch(edge.connections, RateLimitedLog("edge"), dark)
-        age(edge, 1.0)
+        watch = StalledExchangeWatch(edge.connections, RateLimitedLog("edge"), never_responsive)
+        backdate_activity(edge, 1.0)
         watch.check_exchanges()
-        await asyncio.sleep(0.3)  # longer than the pause before a stream looks for a worker again
-        assert len(worker.heads) == (2 if broken_off else 1)
-        if broken_off:
+        await asyncio.sleep(0.3)  # longer than the interval at which a stream searches for a worker
+        assert len(worker.heads) == (2 if is_reset else 1)
+        if is_reset:
             assert await client.read_part() == event(2)
             assert await client.read_part() == b""
         client.close()
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_silent_worker_that_accepts_connections_is_left_alone() -> None:
-    async def stalls(exchange: RawExchange) -> None:
+def test_a_stalled_stream_is_not_reset_while_its_worker_accepts_connections() -> None:
+    async def stall_after_first_event(exchange: RawExchange) -> None:
         await exchange.write(stream_head(exchange) + chunk(event(1)))
         await asyncio.sleep(5)
 
-    async def story() -> None:
-        edge, worker = await edge_with(stalls)
+    async def scenario() -> None:
+        edge, worker = await edge_with(stall_after_first_event)
         assert edge.connections is not None
         client = await edge.client()
         await client.send(request_bytes("/talk/1", "a1"))
         await client.reader.readuntil(b"\r\n\r\n")
         watch = StalledExchangeWatch(edge.connections, RateLimitedLog("edge"))
-        age(edge, 1.0)
+        backdate_activity(edge, 1.0)
         watch.check_exchanges()
         await asyncio.sleep(0.1)
         assert worker.connections == 2
@@ -145,50 +145,50 @@
         client.close()
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
-def test_a_stream_that_stalls_alone_moves_on() -> None:
-    async def stalls(exchange: RawExchange) -> None:
+def test_a_stream_that_stalls_on_one_connection_is_resumed_on_another() -> None:
+    async def stall_after_first_event(exchange: RawExchange) -> None:
         await exchange.write(stream_head(exchange) + chunk(event(1)))
         await asyncio.sleep(5)
 
-    async def goes_on(exchange: RawExchange) -> None:
+    async def resume_after_first_event(exchange: RawExchange) -> None:
         await exchange.write(stream_head(exchange) + chunk(event(2)) + b"0\r\n\r\n")
 
-    async def story() -> None:
-        edge, worker = await edge_with(stalls, goes_on)
+    async def scenario() -> None:
+        edge, worker = await edge_with(stall_after_first_event, resume_after_first_event)
         assert edge.connections is not None
         client = await edge.client()
         await client.send(request_bytes("/talk/1", "a1"))
         await client.reader.readuntil(b"\r\n\r\n")
         assert await client.read_part() == event(1)
         watch = StalledExchangeWatch(edge.connections, RateLimitedLog("edge"))
-        age(edge, 1.1, pools=False)
+        backdate_activity(edge, 1.1, pools=False)
         watch.check_exchanges()
         await asyncio.sleep(0.05)
         assert len(worker.heads) == 1
-        age(edge, 0.2, pools=False)
+        backdate_activity(edge, 0.2, pools=False)
         watch.check_exchanges()
         assert await client.read_part() == event(2)
         assert await client.read_part() == b""
         await edge.stop()
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("overtaken", [True, False])
-def test_a_request_without_an_answer_moves_only_once_a_later_one_was_answered(overtaken: bool) -> None:
-    async def mute(exchange: RawExchange) -> None:
+def test_a_request_without_an_answer_is_retried_only_after_a_later_one_was_answered(overtaken: bool) -> None:
+    async def never_answers(exchange: RawExchange) -> None:
         await asyncio.sleep(5)
 
-    async def story() -> None:
-        edge, worker = await edge_with(mute, plain)
+    async def scenario() -> None:
+        edge, worker = await edge_with(never_answers, plain)
         assert edge.connections is not None
         client = await edge.client()
         await client.send(request_bytes("/look/1", "a1"))
         await asyncio.sleep(0.05)
-        age(edge, 2.0, pools=False)
+        backdate_activity(edge, 2.0, pools=False)
         pool = edge.connections.pools["w1"]
         if overtaken:
             other = await edge.client()
@@ -199,13 +199,13 @@
             }
         else:
             pool.last_activity_s = asyncio.get_running_loop().time()
-        seen = len(worker.heads)
+        heads_before = len(worker.heads)
         StalledExchangeWatch(edge.connections, RateLimitedLog("edge")).check_exchanges()
         await asyncio.sleep(0.05)
-        assert len(worker.heads) == seen + overtaken
+        assert len(worker.heads) == heads_before + overtaken
         if overtaken:
             assert (await client.read()).status == 200
         client.close()
         await edge.stop()
 
-    play(story)
+    play(scenario)
--- a/tests/system/test_edge_retry_budget.py
+++ b/tests/system/test_edge_retry_budget.py
@@ -1,4 +1,4 @@
-"""The edges' shares of the retry budget: they never add up to more than the fleet may spend."""
+"""The edges' shares of the retry budget: their sum never exceeds the budget of the fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class Edge:
-    """One edge machine; a restart makes its budget anew."""
+    """One edge; a restart creates a new budget."""
 
     edges: int
     budget: RetryBudget = field(init=False)
@@ -28,17 +28,17 @@
         self.budget.apply_edges(self.edges, now_s)
 
 
-def within(times: list[float], start_s: float) -> int:
+def count_within(times: list[float], start_s: float) -> int:
     return sum(start_s < moment <= start_s + WINDOW_S for moment in times)
 
 
-def test_without_requests_only_the_extra_share_is_there() -> None:
+def test_without_requests_only_the_extra_share_is_available() -> None:
     budget = Edge(4).budget
     taken = sum(budget.try_consume("s", 0.0) for _ in range(100))
     assert taken == int(0.9 * EXTRA / 4)
 
 
-def test_what_was_given_back_can_be_taken_again() -> None:
+def test_a_refunded_repeat_can_be_consumed_again() -> None:
     budget = Edge(52).budget
     assert not budget.try_consume("s", 0.0)
     budget = Edge(26).budget
@@ -48,20 +48,20 @@
     assert budget.try_consume("s", 0.0)
 
 
-def test_services_have_budgets_of_their_own() -> None:
+def test_services_have_separate_budgets() -> None:
     budget = Edge(26).budget
     assert budget.try_consume("a", 0.0) and budget.try_consume("b", 0.0)
     assert not budget.try_consume("a", 0.0)
 
 
-def test_a_new_life_spends_nothing_of_the_extra_share_in_its_first_window() -> None:
+def test_a_restarted_process_spends_nothing_of_the_extra_share_in_its_first_window() -> None:
     edge = Edge(1)
     edge.restart(0.0)
     assert not edge.budget.try_consume("s", 9.9)
     assert edge.budget.try_consume("s", 10.0)
 
 
-def test_the_most_edges_of_the_last_window_share_it() -> None:
+def test_the_extra_is_shared_by_the_maximum_edges_of_the_last_window() -> None:
     budget = Edge(52).budget
     budget.apply_edges(1, 0.0)
     assert not budget.try_consume("s", 5.0)
@@ -79,16 +79,18 @@
     for step in range(120):
         now_s = step * STEP_S
         for edge in edges:
-            load, hunger, restarts = data.draw(
+            request_count, retries, restarts = data.draw(
                 st.tuples(st.sampled_from([0, 0, 1, 8]), st.sampled_from([0, 0, 2, 30]), st.integers(0, 40))
             )
             if restarts == 40:
                 edge.restart(now_s)
-            for _ in range(load):
+            for _ in range(request_count):
                 edge.budget.count_request("s", now_s)
                 requests.append(now_s)
-            repeats.extend(now_s for _ in range(hunger) if edge.budget.try_consume("s", now_s))
+            repeats.extend(now_s for _ in range(retries) if edge.budget.try_consume("s", now_s))
     for end in range(120):
         start_s = end * STEP_S - WINDOW_S
-        counted = max(within(requests, start_s - shift) for shift in (0.0, WINDOW_S / 2, WINDOW_S))
-        assert within(repeats, start_s) <= RATIO * counted + EXTRA
+        most_requests = max(
+            count_within(requests, start_s - shift) for shift in (0.0, WINDOW_S / 2, WINDOW_S)
+        )
+        assert count_within(repeats, start_s) <= RATIO * most_requests + EXTRA
