--- a/arrowfold/dataplane/exchange.py
+++ b/arrowfold/dataplane/exchange.py
@@ -95,4 +95,4 @@
         """Send a complete answer."""
 
     def abort(self) -> None:
-        """Close the connection, so that the client cannot take the answer for complete."""
+        """Close the connection, so that the client cannot treat the answer as complete."""
--- a/arrowfold/dataplane/forwarding.py
+++ b/arrowfold/dataplane/forwarding.py
@@ -91,8 +91,9 @@
         `process_end` limits all requests once the end of the process is planned; by default it never is.
         `traces` receives a record of each request that was not answered in time. `keys_are_fresh` returns
         whether the known tenants are recent enough to admit a key. With `always_hides_keys`, Authorization is
-        not forwarded to workers even while the configuration has no tenants. `on_begun` is called with the
-        tenant's name, once for each request whose execution a worker has started.
+        not forwarded to workers even while the configuration has no tenants.
+        `on_begun` is called with the tenant's name, once for each request whose execution
+        a worker has started.
         """
         self._on_begun = on_begun
         self._key_checks = KeyChecks(snapshot, keys_are_fresh, always_hides_keys)
--- a/arrowfold/dataplane/worker_connections.py
+++ b/arrowfold/dataplane/worker_connections.py
@@ -184,9 +184,9 @@
         self._pools: dict[str, InstancePool] = {}
         self._limits: dict[str, int] = {}
 
-    def set_shares(self, shares: dict[str, int]) -> None:
+    def set_shares(self, limits: dict[str, int]) -> None:
         """Set how many connections this edge may open to each instance."""
-        self._limits = shares
+        self._limits = limits
 
     def keep_only(self, instances: set[str]) -> None:
         """Close the idle connections of all other instances."""
--- a/tests/system/edge_stories.py
+++ b/tests/system/edge_stories.py
@@ -99,8 +99,8 @@
 class ScriptedAnswer:
     """A scripted answer of a worker.
 
-    `chunks` are pairs of the pause before a chunk, in seconds, and its bytes. With `breaks` the body is
-    interrupted after the last chunk.
+    `chunks` are pairs of the pause before a chunk, in seconds, and its bytes.
+    With `breaks` the body is interrupted after the last chunk.
     """
 
     status: int = 200
--- a/tests/system/misbehaving_workers.py
+++ b/tests/system/misbehaving_workers.py
@@ -58,7 +58,7 @@
         self._buffer = b""
         self._transport: Any = None
         self._last_attempt: str | None = None
-        self._broken_off = False  # within an answer: further bytes would be parsed as its body
+        self._is_truncated = False  # within an answer: further bytes would be parsed as its body
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
@@ -104,7 +104,7 @@
         self._last_attempt = attempt
 
     def _send(self, data: bytes) -> None:
-        if not self._transport.is_closing() and not self._broken_off:
+        if not self._transport.is_closing() and not self._is_truncated:
             self._transport.write(data)
 
     def _send_later(self, delay_s: float, data: bytes) -> None:
@@ -124,7 +124,7 @@
 
     def _truncate_then_reset(self, attempt: str) -> None:
         self._send(answer(attempt)[:-3])
-        self._broken_off = True
+        self._is_truncated = True
         asyncio.get_running_loop().call_later(SECOND_ANSWER_DELAY_S, self._transport.abort)
 
     def _answer_then_reset(self, attempt: str) -> None:
--- a/tests/system/test_edge_ending.py
+++ b/tests/system/test_edge_ending.py
@@ -57,7 +57,7 @@
 
 def test_given_a_request_after_a_stream_that_outlasted_the_listener_then_it_is_not_forwarded() -> None:
     async def next_request(gap_s: float) -> None:
-        # Given a stream that began before the edge was told to end
+        # Given a stream that began before the edge began to end
         edge, worker = await edge_with(streaming)
         client = await edge.client()
         await client.send(request_bytes("/draft/1", "a1", LONG_DEADLINE))
@@ -81,7 +81,7 @@
 
 def test_given_a_body_that_ends_while_the_process_ends_then_the_request_is_not_forwarded() -> None:
     async def scenario() -> None:
-        # Given a request whose head arrived before the edge was told to end
+        # Given a request whose head arrived before the edge began to end
         edge, worker = await edge_with(plain)
         client = await edge.client()
         data = request_bytes("/draft/1", "a1", LONG_DEADLINE, body=b"xy")
@@ -154,7 +154,7 @@
         await exchange.answer()
 
     async def scenario() -> None:
-        # Given a request that was read before the edge was told to end
+        # Given a request that was read before the edge began to end
         edge, _ = await edge_with(slow)
         assert edge.front is not None
         client = await edge.client()
