--- a/arrowfold/controlplane/__init__.py
+++ b/arrowfold/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane of one core machine: HTTP interface, internal interface, and their wiring."""
+"""The control plane of one control node: HTTP interface, internal interface, and their assembly."""
--- a/arrowfold/controlplane/changes.py
+++ b/arrowfold/controlplane/changes.py
@@ -1,4 +1,7 @@
-"""The operator's calls: decided and committed by the primary, passed on to it by every other member."""
+"""Reads and changes of the configuration by the operator.
+
+The primary decides on them and commits them; every other member forwards them to the primary.
+"""
 
 from __future__ import annotations
 
@@ -27,131 +30,141 @@
 
 UNAVAILABLE = 503
 PUT = "PUT"
-LARGEST_DOCUMENT = 4 * 1024 * 1024  # canonical bytes: the whole state has to fit in one internal frame
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024  # of canonical JSON, so that the whole state fits in one internal frame
 
 
 def fault_body(code: ResultCode, text: str, path: str = "") -> bytes:
-    """The JSON body of a refusal."""
+    """Returns the JSON body of an error response."""
     body: dict[str, Any] = {"code": int(code), "error": code.name, "text": text}
     if path:
         body["path"] = path
     return json.dumps(body).encode()
 
 
-def unavailable(code: ResultCode, text: str) -> SubmitResult:
-    """The answer that sends the caller to another node."""
+def unavailable_result(code: ResultCode, text: str) -> SubmitResult:
+    """Returns a 503 result, upon which the caller retries at another node."""
     return SubmitResult(UNAVAILABLE, fault_body(code, text))
 
 
 class ConfigurationService:
-    """Takes, acknowledges and reads configurations, whichever member it runs on."""
+    """Accepts, acknowledges and reads configurations on any member of the group."""
 
     def __init__(self, replica: ReplicaPort, caller: Caller, log: EventLog) -> None:
         self._replica = replica
         self._log = log
         self._parsed: tuple[bytes, ConfigurationDocument] | None = None
-        self._submissions = PrimaryCalls(replica, caller, self.on_submit, _is_settled)
-        self._reads = PrimaryCalls(replica, caller, self.on_read, _is_settled)
+        self._submissions = PrimaryCalls(replica, caller, self.on_submit, _is_final)
+        self._reads = PrimaryCalls(replica, caller, self.on_read, _is_final)
 
-    # At the member that the operator called
+    # On the member that received the call
 
     async def submit(self, change: SubmitChange) -> SubmitResult:
-        """The answer to PUT or PATCH, within a second."""
-        return await self._submissions.ask(change) or _no_answer()
+        """Returns the result of a PUT or PATCH within a second."""
+        return await self._submissions.call_primary(change) or _no_answer_result()
 
     async def read(self) -> SubmitResult:
-        """The answer to GET."""
-        return await self._reads.ask(ReadConfiguration()) or _no_answer()
+        """Returns the result of a GET."""
+        return await self._reads.call_primary(ReadConfiguration()) or _no_answer_result()
 
-    # At the primary
+    # On the primary
 
     async def on_submit(self, change: SubmitChange) -> SubmitResult:
-        """Decide on a change, commit it, and answer."""
+        """Decides on a change, commits it and returns the result."""
         digest = change_digest(change.kind, change.if_match, change.body)
         result = await self._replica.propose(lambda state: self._decide(state, change, digest))
         if isinstance(result, Err):
             self._log.warning("configuration.not_committed", kind=change.kind, reason=str(result.err_value))
-            return _not_committed(result.err_value)
+            return _not_committed_result(result.err_value)
         return result.ok_value
 
     async def on_read(self, _: ReadConfiguration) -> SubmitResult:
-        """The newest committed configuration, under a lease."""
+        """Returns the latest committed configuration, read under the lease of the primary."""
         result = await self._replica.propose(_decide_read)
-        return _not_committed(result.err_value) if isinstance(result, Err) else result.ok_value
+        return _not_committed_result(result.err_value) if isinstance(result, Err) else result.ok_value
 
     def _decide(self, state: ControlState, change: SubmitChange, digest: bytes) -> Proposal[SubmitResult]:
-        taken = state.accepted.get(digest)
-        if taken is not None:
-            return Proposal(_accepted(taken))
+        accepted_version = state.accepted.get(digest)
+        if accepted_version is not None:
+            return Proposal(_accepted_result(accepted_version))
         current = self._parse(state.configuration)
         prepare = prepare_put if change.kind == PUT else prepare_patch
         prepared = prepare(current, change.if_match, change.body)
         if isinstance(prepared, Err):
             self._log.info("configuration.refused", kind=change.kind, reason=str(prepared.err_value))
-            forgotten = may_be_forgotten(state, change.if_match)
-            return Proposal(_forgotten() if forgotten else _refused(prepared.err_value))
+            is_unknown = may_be_dropped_change(state, change.if_match)
+            return Proposal(_outcome_unknown() if is_unknown else _refused(prepared.err_value))
         document = prepared.ok_value
-        size = _largest_size(document)
-        if size > LARGEST_DOCUMENT:
-            return Proposal(_refused(_too_large(size)))
+        size_bytes = _largest_size_bytes(document)
+        if size_bytes > MAX_DOCUMENT_BYTES:
+            return Proposal(_refused(_too_large(size_bytes)))
         self._parsed = (document.to_json(), document)
         self._log.info("configuration.accepted", kind=change.kind, version=document.version)
-        return Proposal(_accepted(document.version), _step(state.configuration, current, document, digest))
+        return Proposal(
+            _accepted_result(document.version), _log_entry(state.configuration, current, document, digest)
+        )
 
-    def _parse(self, text: bytes | None) -> ConfigurationDocument | None:
-        if text is None:
+    def _parse(self, stored_json: bytes | None) -> ConfigurationDocument | None:
+        if stored_json is None:
             return None
-        if self._parsed is None or self._parsed[0] != text:
-            value = read_object(text)
+        if self._parsed is None or self._parsed[0] != stored_json:
+            value = read_object(stored_json)
             assert isinstance(value, Ok)
-            self._parsed = (text, ConfigurationDocument.from_committed(value.ok_value))
+            self._parsed = (stored_json, ConfigurationDocument.from_committed(value.ok_value))
         return self._parsed[1]
 
 
-def _step(
-    text: bytes | None, current: ConfigurationDocument | None, document: ConfigurationDocument, digest: bytes
+def _log_entry(
+    stored_json: bytes | None,
+    current: ConfigurationDocument | None,
+    document: ConfigurationDocument,
+    digest: bytes,
 ) -> ConfigurationStep:
-    """The log entry of a change: a patch where that is shorter and leads to exactly the same bytes."""
-    whole = document.to_json()
-    if text is None or current is None:
-        return ConfigurationStep(document.version, digest, whole)
+    """Returns the log entry of a change: a patch if it is shorter and yields exactly the same bytes."""
+    document_json = document.to_json()
+    if stored_json is None or current is None:
+        return ConfigurationStep(document.version, digest, document_json)
     patch = delta(current, document)
-    if 2 * len(patch) > len(whole) or patched_document(text, patch) != whole:
-        return ConfigurationStep(document.version, digest, whole)
+    if 2 * len(patch) > len(document_json) or patched_document(stored_json, patch) != document_json:
+        return ConfigurationStep(document.version, digest, document_json)
     return ConfigurationStep(document.version, digest, None, patch)
 
 
-def may_be_forgotten(state: ControlState, if_match: str | None) -> bool:
-    """Whether a change on this version may have been taken, and its digest dropped for those after it."""
-    base = normal_precondition(if_match) or ""
-    if len(state.accepted) < REMEMBERED_CHANGES or not base.isdigit():
+def may_be_dropped_change(state: ControlState, if_match: str | None) -> bool:
+    """Returns whether a change of this version may have been accepted and its digest dropped since."""
+    base_version = normal_precondition(if_match) or ""
+    if len(state.accepted) < REMEMBERED_CHANGES or not base_version.isdigit():
         return False
-    return int(base) < min(state.accepted.values())
+    return int(base_version) < min(state.accepted.values())
 
 
-def _largest_size(document: ConfigurationDocument) -> int:
-    """The size (bytes) as it is stored, or as edges get it: a digest is longer than a short key."""
+def _largest_size_bytes(document: ConfigurationDocument) -> int:
+    """Returns the larger size in bytes of the stored document and of the one sent to edges.
+
+    The one for edges can be larger, because a key digest is longer than a short key.
+    """
     return max(len(document.to_json()), len(write_canonical(without_keys(document.value))))
 
 
-def _too_large(size: int) -> ConfigurationFault:
-    text = f"{size} bytes without spaces, as stored or for edges; {LARGEST_DOCUMENT} are the most"
+def _too_large(size_bytes: int) -> ConfigurationFault:
+    text = (
+        f"{size_bytes} bytes of canonical JSON as stored or sent to edges; {MAX_DOCUMENT_BYTES} are allowed"
+    )
     return ConfigurationFault(ResultCode.CONFIGURATION_TOO_LARGE, "", text)
 
 
-def _forgotten() -> SubmitResult:
-    return unavailable(
+def _outcome_unknown() -> SubmitResult:
+    return unavailable_result(
         ResultCode.CONFIGURATION_VERSION_CONFLICT,
-        "too old to tell whether it was taken: read, and build on that",
+        "change is too old to know whether it was accepted: read the configuration and base the change on it",
     )
 
 
-def _is_settled(answer: object) -> bool:
+def _is_final(answer: object) -> bool:
     return isinstance(answer, SubmitResult) and answer.status != UNAVAILABLE
 
 
-def _no_answer() -> SubmitResult:
-    return unavailable(ResultCode.REPLICATION_TIMEOUT, "no primary acknowledged it in time")
+def _no_answer_result() -> SubmitResult:
+    return unavailable_result(ResultCode.REPLICATION_TIMEOUT, "no primary acknowledged the call in time")
 
 
 def _decide_read(state: ControlState) -> Proposal[SubmitResult]:
@@ -162,7 +175,7 @@
     return Proposal(SubmitResult(200, state.configuration))
 
 
-def _accepted(version: int) -> SubmitResult:
+def _accepted_result(version: int) -> SubmitResult:
     return SubmitResult(200, json.dumps({"version": version}).encode())
 
 
@@ -170,5 +183,5 @@
     return SubmitResult(fault_status(fault), fault_body(fault.code, fault.text, fault.path))
 
 
-def _not_committed(fault: ReplicationFault) -> SubmitResult:
-    return unavailable(fault.code, str(fault))
+def _not_committed_result(fault: ReplicationFault) -> SubmitResult:
+    return unavailable_result(fault.code, str(fault))
--- a/arrowfold/controlplane/http_interface.py
+++ b/arrowfold/controlplane/http_interface.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of a control node for workers and the operator: Sanic in the running event loop."""
+"""HTTP interface of a control node for workers and the operator: Sanic in the running event loop."""
 
 from __future__ import annotations
 
@@ -16,51 +16,55 @@
 from arrowfold.node.result_codes import ResultCode
 from arrowfold.registry.workers import GONE
 
-LARGEST_BODY = 6 * 1024 * 1024  # bytes of a configuration as it is sent; below the largest internal frame
+MAX_BODY_BYTES = 6 * 1024 * 1024  # of a submitted configuration; below the largest internal frame
 JSON = "application/json"
-CLOSING_LOOK_S = 0.02  # between looks at what is under way while the server ends
+DRAIN_POLL_INTERVAL_S = 0.02  # between checks for calls in progress while the server stops
 
 
-def _json(status: int, body: bytes) -> HTTPResponse:
+def _json_response(status: int, body: bytes) -> HTTPResponse:
     return raw(body, status=status, content_type=JSON)
 
 
-def _submitted(result: SubmitResult) -> HTTPResponse:
-    return _json(result.status, result.body)
+def _submission_response(result: SubmitResult) -> HTTPResponse:
+    return _json_response(result.status, result.body)
 
 
-def _registration_refused(fault: RegistrationFault) -> HTTPResponse:
+def _refusal_response(fault: RegistrationFault) -> HTTPResponse:
     status = 400 if fault.code == ResultCode.REGISTRATION_INVALID else 503
-    return _json(status, fault_body(fault.code, str(fault)))
+    return _json_response(status, fault_body(fault.code, str(fault)))
 
 
 def build_application(
     configurations: ConfigurationService, registrations: RegistrationService
 ) -> Sanic[Any, Any]:
-    """The routes of the control API."""
+    """Builds the application with the routes of the control API."""
     application: Sanic[Any, Any] = Sanic("arrowfold-control", configure_logging=False)
     application.config.ACCESS_LOG = False
-    application.config.REQUEST_MAX_SIZE = LARGEST_BODY
+    application.config.REQUEST_MAX_SIZE = MAX_BODY_BYTES
     application.config.MOTD = False
     application.config.KEEP_ALIVE_TIMEOUT = 60
 
     async def change_configuration(request: Request) -> HTTPResponse:
         change = SubmitChange(request.method, request.headers.get("if-match"), request.body)
-        return _submitted(await configurations.submit(change))
+        return _submission_response(await configurations.submit(change))
 
     async def read_configuration(_: Request) -> HTTPResponse:
-        return _submitted(await configurations.read())
+        return _submission_response(await configurations.read())
 
     async def register(request: Request, instance: str) -> HTTPResponse:
         parsed = parse_registration(instance, request.body)
         if isinstance(parsed, Err):
-            return _registration_refused(parsed.err_value)
-        taken = await registrations.heard(parsed.ok_value)
-        return _registration_refused(taken.err_value) if isinstance(taken, Err) else _json(200, b"{}")
+            return _refusal_response(parsed.err_value)
+        accepted = await registrations.register(parsed.ok_value)
+        return (
+            _refusal_response(accepted.err_value) if isinstance(accepted, Err) else _json_response(200, b"{}")
+        )
 
     async def deregister(_: Request, instance: str) -> HTTPResponse:
-        taken = await registrations.depart(SubmitDeparture(instance, GONE))
-        return _registration_refused(taken.err_value) if isinstance(taken, Err) else _json(200, b"{}")
+        accepted = await registrations.depart(SubmitDeparture(instance, GONE))
+        return (
+            _refusal_response(accepted.err_value) if isinstance(accepted, Err) else _json_response(200, b"{}")
+        )
 
     application.add_route(change_configuration, "/configuration", methods=["PUT", "PATCH"])
     application.add_route(read_configuration, "/configuration", methods=["GET"], name="read_configuration")
@@ -70,29 +74,29 @@
 
 
 class ControlHttpServer:
-    """The listening interface; ended in order, so that no call that was read goes without its answer."""
+    """The listening HTTP server; its graceful stop answers every call that was read."""
 
     def __init__(self, server: AsyncioServer) -> None:
         self._server = server
 
-    async def end(self, patience_s: float) -> None:
-        """Take no new connections, answer what is under way for at most `patience_s`, then close."""
+    async def end(self, timeout_s: float) -> None:
+        """Stops accepting connections, answers calls in progress for at most `timeout_s`, then closes."""
         self._server.close()  # type: ignore[no-untyped-call]
         loop = asyncio.get_running_loop()
-        deadline_s = loop.time() + patience_s
+        deadline_s = loop.time() + timeout_s
         while self._close_idle() and loop.time() < deadline_s:
-            await asyncio.sleep(CLOSING_LOOK_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         for connection in list(self._server.connections):
             connection.close()
 
     def _close_idle(self) -> bool:
-        """Close the connections that wait for a call; whether others are left."""
+        """Closes idle connections; returns whether others are left."""
         connections = list(self._server.connections)
         return not all([connection.close_if_idle() for connection in connections])
 
 
 async def serve(application: Sanic[Any, Any], address: str) -> ControlHttpServer:
-    """Listen at HOST:PORT in the running event loop."""
+    """Starts listening at `address` (HOST:PORT) in the running event loop."""
     host, port = address.rsplit(":", 1)
     server = await application.create_server(
         host=host, port=int(port), backlog=512, access_log=False, return_asyncio_server=True
--- a/arrowfold/controlplane/messages.py
+++ b/arrowfold/controlplane/messages.py
@@ -1,4 +1,4 @@
-"""Messages between control nodes beside replication. Numbers are permanent."""
+"""Messages between control nodes other than those of the replication. Message numbers are permanent."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 @message(80)
 @dataclass(frozen=True, slots=True)
 class EdgeSightings:
-    """How long ago, in seconds, the sender or those that it heard from saw each edge node."""
+    """Time in seconds since each edge node last contacted the sender or a node that reported to it."""
 
     ages_s: dict[str, float]
--- a/arrowfold/controlplane/primary_calls.py
+++ b/arrowfold/controlplane/primary_calls.py
@@ -1,4 +1,4 @@
-"""Calls that only the primary may answer: made there, wherever it is, and again while it changes."""
+"""Calls to the primary from any member, retried while the primary changes."""
 
 from __future__ import annotations
 
@@ -12,39 +12,42 @@
 RequestT = TypeVar("RequestT")
 AnswerT = TypeVar("AnswerT")
 
-WHOLE_CALL_S = 0.88  # a caller from outside goes to another node after a second of silence
-SHORTEST_CALL_S = 0.05
-PAUSE_S = 0.03
+TOTAL_TIMEOUT_S = 0.88  # below the second after which external callers retry at another node
+MIN_ATTEMPT_TIMEOUT_S = 0.05
+RETRY_INTERVAL_S = 0.03
 
 
 class PrimaryCalls(Generic[RequestT, AnswerT]):
-    """Asks the primary, locally or by the internal channel. The calls must be safe to repeat."""
+    """Calls the primary, locally or over the internal channel. The calls must be safe to repeat."""
 
     def __init__(
         self,
         replica: ReplicaPort,
         caller: Caller,
         local: Callable[[RequestT], Awaitable[AnswerT]],
-        is_settled: Callable[[object], bool],
+        is_final: Callable[[object], bool],
     ) -> None:
-        """`is_settled` tells an answer of the primary from one that asks to be called again."""
+        """Creates the caller.
+
+        `local` answers on the primary itself. `is_final` returns False for an answer that requires a retry.
+        """
         self._replica = replica
         self._caller = caller
         self._local = local
-        self._is_settled = is_settled
+        self._is_final = is_final
 
-    async def ask(self, request: RequestT) -> AnswerT | None:
-        """The primary's answer, or None if it did not come in time."""
+    async def call_primary(self, request: RequestT) -> AnswerT | None:
+        """Returns the answer of the primary, or None if it did not arrive in time."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + WHOLE_CALL_S
-        while (remaining_s := deadline - loop.time()) > SHORTEST_CALL_S:
-            answer = await self._ask_once(request, remaining_s)
-            if answer is not None and self._is_settled(answer):
+        deadline_s = loop.time() + TOTAL_TIMEOUT_S
+        while (remaining_s := deadline_s - loop.time()) > MIN_ATTEMPT_TIMEOUT_S:
+            answer = await self._call_once(request, remaining_s)
+            if answer is not None and self._is_final(answer):
                 return answer
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return None
 
-    async def _ask_once(self, request: RequestT, timeout_s: float) -> AnswerT | None:
+    async def _call_once(self, request: RequestT, timeout_s: float) -> AnswerT | None:
         if self._replica.is_primary():
             try:
                 async with asyncio.timeout(timeout_s):
@@ -54,13 +57,13 @@
         primary = self._replica.primary()
         if primary is None or primary.member == self._replica.member:
             return None
-        calling = asyncio.ensure_future(self._caller.call(primary.address, request, timeout_s))
+        call_task = asyncio.ensure_future(self._caller.call(primary.address, request, timeout_s))
         try:
-            while not calling.done():
-                await asyncio.wait({calling}, timeout=PAUSE_S)
+            while not call_task.done():
+                await asyncio.wait({call_task}, timeout=RETRY_INTERVAL_S)
                 if self._replica.primary() != primary:
-                    return None  # another primary: what was asked of the old one is asked again there
-            answer: AnswerT | None = calling.result().ok()
+                    return None  # the call is retried at the new primary
+            answer: AnswerT | None = call_task.result().ok()
             return answer
         finally:
-            calling.cancel()
+            call_task.cancel()
--- a/arrowfold/controlplane/registration.py
+++ b/arrowfold/controlplane/registration.py
@@ -1,4 +1,4 @@
-"""Calls of workers: heartbeats are taken by any control node, notices of departure are committed first."""
+"""Calls of workers: any control node accepts heartbeats, departure notices are committed first."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from arrowfold.replication.proposals import Proposal, ReplicaPort
 from arrowfold.replication.state import ControlState, DepartureNotice
 
-_STAGES = {AVAILABLE: 0, DRAINING: 1, GONE: 2}
+_STATE_RANK = {AVAILABLE: 0, DRAINING: 1, GONE: 2}
 
 
 class HeldModelBody(BaseModel):
@@ -50,7 +50,7 @@
     remainingMs: float | None = None
 
     def record(self, instance: str) -> WorkerRecord:
-        """The worker's record."""
+        """Returns the record of the worker."""
         return WorkerRecord(
             instance=instance,
             service=self.targetService,
@@ -68,7 +68,7 @@
 
 
 class RegistrationFault(Exception):
-    """A worker's call is not taken, and why."""
+    """A call of a worker is refused; the text states the reason."""
 
     def __init__(self, code: ResultCode, text: str) -> None:
         super().__init__(text)
@@ -76,7 +76,7 @@
 
 
 def parse_registration(instance: str, body: bytes) -> Result[WorkerRecord, RegistrationFault]:
-    """The record that the body of a registration tells."""
+    """Parses the body of a registration into a worker record."""
     try:
         return Ok(RegistrationBody.model_validate_json(body).record(instance))
     except ValidationError as error:
@@ -85,10 +85,10 @@
         return Err(RegistrationFault(ResultCode.REGISTRATION_INVALID, f"{path}: {first['msg']}"))
 
 
-def already_committed(state: ControlState, instance: str, wanted: str) -> bool:
-    """Whether this notice, or a later one, is in the replicated state."""
+def already_committed(state: ControlState, instance: str, notice_state: str) -> bool:
+    """Returns whether this notice, or one of a later state, is in the replicated state."""
     departure = state.departures.get(instance)
-    return departure is not None and _STAGES.get(departure.state, 0) >= _STAGES.get(wanted, 0)
+    return departure is not None and _STATE_RANK.get(departure.state, 0) >= _STATE_RANK.get(notice_state, 0)
 
 
 def _is_acknowledged(answer: object) -> bool:
@@ -96,7 +96,7 @@
 
 
 class RegistrationService:
-    """Takes what workers say, whichever member it runs on."""
+    """Accepts registrations and departure notices of workers on any member of the group."""
 
     def __init__(
         self,
@@ -110,8 +110,8 @@
         self._departures = PrimaryCalls(replica, caller, self.on_departure, _is_acknowledged)
         self._on_change = on_change
 
-    async def heard(self, record: WorkerRecord) -> Result[None, RegistrationFault]:
-        """Take a registration; Ok may be acknowledged."""
+    async def register(self, record: WorkerRecord) -> Result[None, RegistrationFault]:
+        """Records a registration; after Ok it may be acknowledged."""
         if record.state != AVAILABLE:
             notice = SubmitDeparture(record.instance, record.state, record.remaining_ms)
             committed = await self.depart(notice)
@@ -122,17 +122,21 @@
         return Ok(None)
 
     async def depart(self, notice: SubmitDeparture) -> Result[None, RegistrationFault]:
-        """Have a notice of departure committed, within a second; Ok may be acknowledged."""
+        """Has a departure notice committed within a second; after Ok it may be acknowledged."""
         if already_committed(self._replica.committed, notice.instance, notice.state):
             return Ok(None)
-        if await self._departures.ask(notice) is not None:
+        if await self._departures.call_primary(notice) is not None:
             if notice.state == GONE and self._registry.departed(notice.instance):
                 self._on_change()
             return Ok(None)
-        return Err(RegistrationFault(ResultCode.REGISTRATION_NOT_DURABLE, "no primary committed it in time"))
+        return Err(
+            RegistrationFault(
+                ResultCode.REGISTRATION_NOT_DURABLE, "no primary committed the departure in time"
+            )
+        )
 
     async def on_departure(self, notice: SubmitDeparture) -> Acknowledgement | CallFailed:
-        """As the primary: commit a notice of departure."""
+        """On the primary: commits a departure notice."""
 
         def decide(state: ControlState) -> Proposal[Acknowledgement]:
             if already_committed(state, notice.instance, notice.state):
--- a/arrowfold/controlplane/usage_decisions.py
+++ b/arrowfold/controlplane/usage_decisions.py
@@ -1,4 +1,7 @@
-"""The replicated side of usage: the primary fixes a window's counts, and notes what the platform accepted."""
+"""Replicated decisions on usage windows.
+
+The primary commits the counts of a window, and that the platform has accepted a window.
+"""
 
 from __future__ import annotations
 
@@ -21,36 +24,39 @@
 
 
 class UsageDecisions:
-    """Asks the primary, wherever it is, and answers as the primary."""
+    """Calls the primary for decisions, and makes them on the primary."""
 
     def __init__(self, replica: ReplicaPort, caller: Caller) -> None:
         self._replica = replica
-        self._deciding = PrimaryCalls(replica, caller, self.on_decide, _is_decided)
-        self._marking = PrimaryCalls(replica, caller, self.on_reported, _is_acknowledged)
+        self._decide_calls = PrimaryCalls(replica, caller, self.on_decide, _is_decided)
+        self._mark_calls = PrimaryCalls(replica, caller, self.on_reported, _is_acknowledged)
 
     @property
     def ledger(self) -> UsageLedger:
-        """The windows as they are committed, as far as this member knows."""
+        """Committed windows, as far as known to this member."""
         return self._replica.committed.usage
 
     async def decide(self, window: int, counts: dict[str, int], token: int) -> DecidedUsageWindow | None:
-        """Have a window's counts fixed under a tenure's token; None if that is not known to have happened."""
-        answer = await self._deciding.ask(DecideUsageWindow(window, counts, token))
+        """Has the counts of a window committed under the token of a tenure.
+
+        Returns the committed counts, or None if the outcome is unknown.
+        """
+        answer = await self._decide_calls.call_primary(DecideUsageWindow(window, counts, token))
         return answer if isinstance(answer, DecidedUsageWindow) else None
 
     async def mark_reported(self, window: int) -> bool:
-        """Have it noted that the platform accepted a window; whether it was."""
-        return await self._marking.ask(MarkUsageReported(window)) is not None
+        """Has it committed that the platform accepted a window; returns whether this is known."""
+        return await self._mark_calls.call_primary(MarkUsageReported(window)) is not None
 
     async def on_decide(self, request: DecideUsageWindow) -> DecidedUsageWindow | CallFailed:
-        """As the primary: fix a window's counts, unless it is settled."""
+        """On the primary: commits the counts of a window unless it is already settled."""
 
         def decide(state: ControlState) -> Proposal[DecidedUsageWindow | CallFailed]:
             if state.usage.is_settled(request.window):
-                return Proposal(_standing(state.usage, request.window))
+                return Proposal(_settled_window(state.usage, request.window))
             tenure = state.roles.get(USAGE_ROLE)
             if tenure is None or tenure.token != request.token:
-                return Proposal(CallFailed(ResultCode.EPOCH_STALE, "another holds the duty"))
+                return Proposal(CallFailed(ResultCode.EPOCH_STALE, "the duty is held under another token"))
             entry = UsageWindowDecided(request.window, request.counts)
             return Proposal(DecidedUsageWindow(request.window, request.counts), entry)
 
@@ -60,7 +66,7 @@
         return result.ok_value
 
     async def on_reported(self, request: MarkUsageReported) -> Acknowledgement | CallFailed:
-        """As the primary: note that the platform accepted a window."""
+        """On the primary: commits that the platform accepted a window."""
 
         def decide(state: ControlState) -> Proposal[Acknowledgement]:
             if request.window not in state.usage.pending:
@@ -73,7 +79,7 @@
         return result.ok_value
 
 
-def _standing(ledger: UsageLedger, window: int) -> DecidedUsageWindow:
+def _settled_window(ledger: UsageLedger, window: int) -> DecidedUsageWindow:
     counts = ledger.counts(window)
     return DecidedUsageWindow(window, counts or {}, known=counts is not None)
 
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -354,14 +354,18 @@
     *_guards(
         Area.CONTROL_PLANE,
         "controlplane/changes.py",
-        ("a change that was taken is confirmed again", "if taken is not None:", "if False:"),
+        ("a change that was taken is confirmed again", "if accepted_version is not None:", "if False:"),
         (
             "a change too old to know is unclear",
-            "return Proposal(_forgotten() if forgotten else _refused(prepared.err_value))",
+            "return Proposal(_outcome_unknown() if is_unknown else _refused(prepared.err_value))",
             "return Proposal(_refused(prepared.err_value))",
         ),
-        ("a document too large is refused", "if size > LARGEST_DOCUMENT:", "if False:"),
-        ("a patch leads to the same bytes", " or patched_document(text, patch) != whole:", ":"),
+        ("a document too large is refused", "if size_bytes > MAX_DOCUMENT_BYTES:", "if False:"),
+        (
+            "a patch leads to the same bytes",
+            " or patched_document(stored_json, patch) != document_json:",
+            ":",
+        ),
     ),
     *_guards(
         Area.CONTROL_PLANE,
@@ -369,8 +373,8 @@
         ("a departure is committed before its answer", "if record.state != AVAILABLE:", "if False:"),
         (
             "a notice of a later state stands",
-            "_STAGES.get(departure.state, 0) >= _STAGES.get(wanted, 0)",
-            "_STAGES.get(departure.state, 0) == _STAGES.get(wanted, 0)",
+            "_STATE_RANK.get(departure.state, 0) >= _STATE_RANK.get(notice_state, 0)",
+            "_STATE_RANK.get(departure.state, 0) == _STATE_RANK.get(notice_state, 0)",
         ),
         (
             "a notice is decided on the committed state",
@@ -394,8 +398,8 @@
         ("an order is sent only under authority", "if self._lease.remaining_s() < ARRIVAL_S:", "if False:"),
         (
             "orders are planned only under authority",
-            "may_order = self._lease.remaining_s() >= ARRIVAL_S",
-            "may_order = True",
+            "can_order = self._lease.remaining_s() >= ARRIVAL_S",
+            "can_order = True",
         ),
         ("the work ends with the tenure", "while self._lease.is_tenured() and not", "while not"),
         (
@@ -409,11 +413,11 @@
         "controlplane/placement_notices.py",
         (
             "a new tenure starts its updates anew",
-            "if known is None or token > known.token:",
-            "if known is None:",
+            "if notices is None or token > notices.token:",
+            "if notices is None:",
         ),
-        ("a puller of an older tenure gets everything", "if since <= known.first:", "if False:"),
-        ("an origin is one life", "{ROLE_PREFIX}{service}@{self._life}", "{ROLE_PREFIX}{service}"),
+        ("a puller of an older tenure gets everything", "if since <= notices.base_counter:", "if False:"),
+        ("an origin is one life", "{ROLE_PREFIX}{service}@{self._incarnation}", "{ROLE_PREFIX}{service}"),
     ),
     *_guards(
         Area.CONTROL_PLANE,
@@ -455,11 +459,11 @@
         "if known.update.origin == self.origin and _supersedes(known.update.record, update.record):",
         "if False:",
     ),
-    ("after a pause each worker has its whole time", "        if paused:", "        if False:"),
+    ("after a pause each worker has its whole time", "        if was_paused:", "        if False:"),
     (
         "another node's workers aren't called silent",
-        "if quiet_s > patience_s and not self._is_others(known.update.origin, is_live):",
-        "if quiet_s > patience_s:",
+        "if silent_s > timeout_s and not self._is_owned_elsewhere(known.update.origin, is_live):",
+        "if silent_s > timeout_s:",
     ),
     (
         "a worker is announced once",
--- a/tests/system/test_configuration_secrets.py
+++ b/tests/system/test_configuration_secrets.py
@@ -10,7 +10,7 @@
 
 from arrowfold.configuration.changes import change_digest
 from arrowfold.configuration.validity import parse_configuration
-from arrowfold.controlplane.changes import ConfigurationService, _decide_read, _step
+from arrowfold.controlplane.changes import ConfigurationService, _decide_read, _log_entry
 from arrowfold.controlplane.distribution import configuration_updates
 from arrowfold.dataplane.tables import FleetTables
 from arrowfold.internal.codec import encode
@@ -45,7 +45,7 @@
 
 def _committed(value: dict[str, Any]) -> ControlState:
     document = parse_configuration(text_of(value)).unwrap()
-    return apply_entry(ControlState(), _step(None, None, document, b"digest"))
+    return apply_entry(ControlState(), _log_entry(None, None, document, b"digest"))
 
 
 def _decided(change: SubmitChange, log: _Lines) -> Proposal[SubmitResult]:
@@ -151,7 +151,7 @@
     opened = open_storage(OsFolder(folder), NewIdentity("m1", True, ("10.1.0.38:7660",)))
     document = parse_configuration(text_of(configuration(9, tenants=[tenant("acme", KEY)]))).unwrap()
     opened.log.append([encode(PromiseStored(1, "m1"))])
-    opened.log.append([encode(EntriesAppended(1, (_step(None, None, document, b"digest"),)))])
+    opened.log.append([encode(EntriesAppended(1, (_log_entry(None, None, document, b"digest"),)))])
     opened.log.close()
     return folder / "segment-00000000"
 
--- a/tests/system/test_control_changes.py
+++ b/tests/system/test_control_changes.py
@@ -13,13 +13,13 @@
 from arrowfold.configuration.json_text import write_canonical
 from arrowfold.configuration.validity import parse_configuration
 from arrowfold.controlplane.changes import (
-    LARGEST_DOCUMENT,
+    MAX_DOCUMENT_BYTES,
     UNAVAILABLE,
     ConfigurationService,
-    _step,
+    _log_entry,
 )
 from arrowfold.controlplane.distribution import configuration_updates
-from arrowfold.controlplane.http_interface import LARGEST_BODY
+from arrowfold.controlplane.http_interface import MAX_BODY_BYTES
 from arrowfold.internal.channel import LARGEST_FRAME
 from arrowfold.internal.codec import decode, encode
 from arrowfold.internal.messages import ConfigurationDelta, ConfigurationUpdate, SubmitChange, SubmitResult
@@ -54,7 +54,7 @@
     current: ConfigurationDocument | None = None
     for version, names in enumerate(lists, start=1):
         new = _many(version, names)
-        entry = _step(state.configuration, current, new, str(version).encode())
+        entry = _log_entry(state.configuration, current, new, str(version).encode())
         state = apply_entry(state, decode(encode(entry)))
         assert state.configuration == new.to_json()
         assert state.configuration_version == version
@@ -64,7 +64,7 @@
 def test_given_a_small_change_of_a_large_document_then_the_entry_is_a_patch() -> None:
     names = [f"r{number}" for number in range(300)]
     first, second = _many(1, names), _many(2, names[1:])
-    entry = _step(first.to_json(), first, second, b"d")
+    entry = _log_entry(first.to_json(), first, second, b"d")
     assert entry.document is None
     assert len(encode(entry)) < len(second.to_json()) / 20
 
@@ -75,7 +75,7 @@
     state = ControlState()
     current: ConfigurationDocument | None = None
     for new in documents:
-        state = apply_entry(state, _step(state.configuration, current, new, bytes([new.version])))
+        state = apply_entry(state, _log_entry(state.configuration, current, new, bytes([new.version])))
         current = new
     assert isinstance(configuration_updates(state, 0)[0], ConfigurationUpdate)
     for since in (1, 2, 3):
@@ -125,14 +125,14 @@
 
 
 def test_given_a_document_beyond_the_limit_then_it_is_refused_for_good_and_nothing_is_stored() -> None:
-    change = SubmitChange("PUT", "0", _long_document(1, LARGEST_DOCUMENT))
+    change = SubmitChange("PUT", "0", _long_document(1, MAX_DOCUMENT_BYTES))
     proposal = _decide(ControlState(), change)
     assert proposal.answer.status == 413
     assert json.loads(proposal.answer.body)["code"] == ResultCode.CONFIGURATION_TOO_LARGE
     assert proposal.entry is None
     # And one of letters that take more room in the stored text than on the wire
     wide = _long_document(1, 0).replace(b'"note": ""', '"note": "{}"'.format("é" * 800_000).encode())
-    assert len(wide) < LARGEST_BODY
+    assert len(wide) < MAX_BODY_BYTES
     assert _decide(ControlState(), SubmitChange("PUT", "0", wide)).answer.status == 413
 
 
@@ -141,14 +141,14 @@
     value = json.loads(document(1, "many"))
     value["tenants"] = [{"name": "a", "apiKeys": [f"{number:x}" for number in range(70_000)]}]
     body = json.dumps(value).encode()
-    assert len(body) < LARGEST_DOCUMENT / 4
+    assert len(body) < MAX_DOCUMENT_BYTES / 4
     assert _decide(ControlState(), SubmitChange("PUT", "0", body)).answer.status == 413
 
 
 def test_given_the_largest_state_then_it_and_the_largest_call_fit_in_one_frame() -> None:
     largest = ControlState(
         sequence=10**9,
-        configuration=b"x" * LARGEST_DOCUMENT,
+        configuration=b"x" * MAX_DOCUMENT_BYTES,
         accepted={number.to_bytes(32, "big"): number for number in range(REMEMBERED_CHANGES)},
         departures={
             f"instance-{number:040d}": Departure(10**9, "draining", 1e6)
@@ -156,7 +156,7 @@
         },
     )
     assert len(encode(StateImage(1, 1, 1, largest))) < LARGEST_FRAME * 3 // 4
-    assert len(encode(SubmitChange("PATCH", "7", b"x" * LARGEST_BODY))) < LARGEST_FRAME * 9 // 10
+    assert len(encode(SubmitChange("PATCH", "7", b"x" * MAX_BODY_BYTES))) < LARGEST_FRAME * 9 // 10
 
 
 def _after_many_changes(number: int) -> ControlState:
--- a/tests/system/test_control_http.py
+++ b/tests/system/test_control_http.py
@@ -14,7 +14,7 @@
 from sanic import Sanic
 
 from arrowfold.controlplane.changes import ConfigurationService
-from arrowfold.controlplane.http_interface import LARGEST_BODY, ControlHttpServer, build_application, serve
+from arrowfold.controlplane.http_interface import MAX_BODY_BYTES, ControlHttpServer, build_application, serve
 from arrowfold.controlplane.registration import RegistrationFault, RegistrationService
 from arrowfold.internal.messages import SubmitChange, SubmitDeparture, SubmitResult, WorkerRecord
 from arrowfold.node.result_codes import ResultCode
@@ -60,7 +60,7 @@
         self.departed: list[SubmitDeparture] = []
         self.durable = True
 
-    async def heard(self, record: WorkerRecord) -> Result[None, RegistrationFault]:
+    async def register(self, record: WorkerRecord) -> Result[None, RegistrationFault]:
         self.records.append(record)
         return Ok(None)
 
@@ -293,7 +293,7 @@
 def test_a_body_beyond_the_limit_is_refused_unread() -> None:
     async def story(stage: Stage) -> None:
         caller = await stage.call()
-        head = f"PUT /configuration HTTP/1.1\r\nHost: c\r\nContent-Length: {LARGEST_BODY + 1}\r\n\r\n"
+        head = f"PUT /configuration HTTP/1.1\r\nHost: c\r\nContent-Length: {MAX_BODY_BYTES + 1}\r\n\r\n"
         await caller.write(head.encode())
         assert (await caller.answer())[0] == 413
         assert stage.configurations.changes == []
