--- a/arrowfold/controlplane/placement_executor.py
+++ b/arrowfold/controlplane/placement_executor.py
@@ -1,7 +1,7 @@
-"""Carries out what the placement decides: orders to workers and reads of their reports, under a lease.
+"""Executes the decisions of the placement: sends orders to workers and reads their reports, under a lease.
 
-An order leaves only while the lease has time left for its way. A connection that gave no answer is reset,
-which drops bytes still on their way; a later owner begins only after that time.
+An order is sent only while the lease has enough time left for it to arrive. A connection that gave no answer
+is reset, which drops bytes that are still in flight; a later owner starts only after that time.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 
 CONNECT_TIMEOUT_S = 0.5
 ANSWER_TIMEOUT_S = ANSWER_JITTER_S
-ARRIVAL_S = 0.15  # of the lease has to be left for the way of an order
-LEAVING_NOTICE_S = 0.02  # edges hear of an unload this long before the worker does
-KEEP_CONNECTION_S = 2.0  # an idle connection to a worker is kept for the next order of a chain
-RENEWAL_S = 1.0  # edges drop corrections that are not published again for some seconds
-SHORTEST_PAUSE_S = 0.005
-RESTS = 3.0  # after each step, of the time that it took: planning takes a quarter of the processor at most
-LONGEST_REST_S = 0.05
-_ANSWERS = {
+ARRIVAL_S = 0.15  # remaining lease time required to send an order, so that it arrives under the lease
+UNLOAD_NOTICE_S = 0.02  # edges are notified of an unload this long before the worker gets the order
+IDLE_CONNECTION_TIMEOUT_S = 2.0  # long enough to reuse the connection for the next order of a chain
+CORRECTION_RENEWAL_INTERVAL_S = 1.0  # edges drop corrections that are not renewed for some seconds
+MIN_WAIT_S = 0.005
+PAUSE_TO_STEP_RATIO = 3.0  # limits planning to a quarter of the processor time
+MAX_PAUSE_AFTER_STEP_S = 0.05
+_ANSWER_BY_STATUS = {
     200: OrderAnswer.ALREADY,
     202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.CONFLICT,
@@ -53,45 +53,49 @@
 
 
 class RoleLease(Protocol):
-    """The ownership of a role by this node."""
+    """Ownership of a role by this node."""
 
     @property
     def token(self) -> int:
-        """The fencing token, higher than that of every earlier owner."""
+        """Fencing token, higher than that of every earlier owner."""
 
     @property
     def holder(self) -> str:
-        """The name under which this owner gives orders."""
+        """Name of the owner that is sent with its orders."""
 
     def is_tenured(self) -> bool:
-        """Whether the role is still this node's under this token, as far as it knows."""
+        """Returns whether, as far as this node knows, it still holds the role under this token."""
 
     def remaining_s(self) -> float:
-        """How much longer this node surely may act; 0 while it may not, as during a change of the primary."""
+        """Returns for how long this node is certain to have authority.
+
+        0 while it has none, for example during a change of the primary.
+        """
 
 
 class PlacementPorts(Protocol):
-    """What the executor needs of the control plane."""
+    """Interface of the control plane to the executor."""
 
     def workers(self) -> Iterable[WorkerRecord]:
-        """Every worker known now."""
+        """Returns all known workers."""
 
     def catalogue(self, service: str) -> ModelCatalogue | None:
-        """The models of a service by the configuration in force."""
+        """Returns the model catalogue of a service from the current configuration."""
 
     def publish(self, service: str, token: int, corrections: tuple[WorkerCorrection, ...]) -> None:
-        """Bring these corrections to every edge, in place of those before them."""
+        """Distributes the corrections to all edges, replacing the previous ones."""
 
 
 def order_session() -> aiohttp.ClientSession:
-    """A client session for orders and reports; its connections are reset when they are closed."""
-    return resetting_session(CONNECT_TIMEOUT_S, ANSWER_TIMEOUT_S, KEEP_CONNECTION_S)
+    """Returns a client session for orders and reports whose connections are reset on close."""
+    return resetting_session(CONNECT_TIMEOUT_S, ANSWER_TIMEOUT_S, IDLE_CONNECTION_TIMEOUT_S)
 
 
 class PlacementExecutor:
-    """Runs the placement of one service for as long as one tenure of its role lasts.
+    """Runs the placement of one service for the duration of one tenure of its role.
 
-    Until this node may act under the role it learns demand and reads reports, so that it is prepared then.
+    Before this node has authority under the role, the executor already collects demand and reads reports, so
+    that it can plan as soon as it has authority.
     """
 
     def __init__(
@@ -105,7 +109,7 @@
         options: PlacementOptions | None = None,
         traces: TraceWriter | None = None,
     ) -> None:
-        """`traces` takes a record of each load."""
+        """Creates an executor; `traces` receives a record of each load."""
         self._options = options or PlacementOptions()
         self._traces = traces
         self._service = service
@@ -116,30 +120,32 @@
         self._clock = clock
         self._changed = asyncio.Event()
         self._placer: ServicePlacer | None = None
-        self._published: tuple[WorkerCorrection, ...] | None = None  # the predecessor's are in force
+        self._published: tuple[WorkerCorrection, ...] | None = None  # None: the previous owner's apply
         self._published_s = -math.inf
         self._tasks: set[asyncio.Task[None]] = set()
 
     def wake(self) -> None:
-        """Workers or the configuration have changed."""
+        """Triggers a step after a change of the workers or of the configuration."""
         self._changed.set()
 
     def take_demand(self, report: DemandReport) -> None:
-        """An edge tells what it saw."""
+        """Applies a demand report of an edge."""
         if self._placer is not None:
             self._placer.apply_demand(report, self._clock())
             self._changed.set()
 
     async def run(self) -> None:
-        """Work until the lease is lost or a worker has seen a later owner."""
+        """Runs until the lease is lost or a worker reports a later owner."""
         try:
             while self._lease.is_tenured() and not (self._placer and self._placer.fenced):
-                begun_s = self._clock()
+                started_s = self._clock()
                 self._step()
-                await asyncio.sleep(min(LONGEST_REST_S, RESTS * (self._clock() - begun_s)))
-                await self._pause()
+                await asyncio.sleep(
+                    min(MAX_PAUSE_AFTER_STEP_S, PAUSE_TO_STEP_RATIO * (self._clock() - started_s))
+                )
+                await self._wait_for_change()
         finally:
-            await self._finish()
+            await self._cancel_tasks()
 
     def _step(self) -> None:
         catalogue = self._ports.catalogue(self._service)
@@ -153,11 +159,11 @@
             self._placer = ServicePlacer(catalogue, ceiling, self._options)
         self._placer.apply_catalogue(catalogue)
         self._placer.apply_workers(self._ports.workers(), now_s)
-        may_order = self._lease.remaining_s() >= ARRIVAL_S
-        actions = self._placer.actions(now_s, may_order)
+        can_order = self._lease.remaining_s() >= ARRIVAL_S
+        actions = self._placer.actions(now_s, can_order)
         self._publish(self._placer.corrections(now_s))
         for action in actions:
-            self._start(self._placer, action)
+            self._start_action(self._placer, action)
         self._write_traces(self._placer)
 
     def _write_traces(self, placer: ServicePlacer) -> None:
@@ -168,18 +174,18 @@
 
     def _publish(self, corrections: tuple[WorkerCorrection, ...]) -> None:
         now_s = self._clock()
-        renew = bool(corrections) and now_s - self._published_s >= RENEWAL_S
-        if renew or self._published is None or not same_corrections(corrections, self._published):
+        is_renewal_due = bool(corrections) and now_s - self._published_s >= CORRECTION_RENEWAL_INTERVAL_S
+        if is_renewal_due or self._published is None or not same_corrections(corrections, self._published):
             self._published, self._published_s = corrections, now_s
             self._ports.publish(self._service, self._lease.token, corrections)
 
-    def _start(self, placer: ServicePlacer, action: Action) -> None:
-        work = self._carry_out(placer, action)
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_action(self, placer: ServicePlacer, action: Action) -> None:
+        execution = self._execute(placer, action)
+        task = asyncio.get_running_loop().create_task(execution)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _carry_out(self, placer: ServicePlacer, action: Action) -> None:
+    async def _execute(self, placer: ServicePlacer, action: Action) -> None:
         if isinstance(action, SendOrder):
             answer = await self._send_order(action.order)
             self._log_answer(action.order, answer)
@@ -189,25 +195,25 @@
             placer.report_answered(action.instance, report, self._clock())
         self._changed.set()
 
-    async def _pause(self) -> None:
+    async def _wait_for_change(self) -> None:
         now_s = self._clock()
         wakeup_s = self._placer.next_wakeup_s(now_s) if self._placer else now_s + ANSWER_TIMEOUT_S
-        pause_s = max(SHORTEST_PAUSE_S, wakeup_s - now_s)
+        wait_s = max(MIN_WAIT_S, wakeup_s - now_s)
         try:
-            async with asyncio.timeout(pause_s):
+            async with asyncio.timeout(wait_s):
                 await self._changed.wait()
         except TimeoutError:
             pass
         self._changed.clear()
 
-    async def _finish(self) -> None:
+    async def _cancel_tasks(self) -> None:
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _send_order(self, order: Order) -> OrderAnswer:
         if order.operation is Operation.UNLOAD:
-            await asyncio.sleep(LEAVING_NOTICE_S)
+            await asyncio.sleep(UNLOAD_NOTICE_S)
         if self._lease.remaining_s() < ARRIVAL_S:
             return OrderAnswer.UNSENT
         try:
@@ -217,7 +223,7 @@
                 headers={"X-Target-Instance": order.instance},
             ) as response:
                 await response.read()
-                return _ANSWERS.get(response.status, OrderAnswer.REFUSED)
+                return _ANSWER_BY_STATUS.get(response.status, OrderAnswer.REFUSED)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return OrderAnswer.UNSENT
         except (aiohttp.ClientError, TimeoutError, OSError):
@@ -247,7 +253,7 @@
 
 
 def order_body(order: Order, lease: RoleLease) -> dict[str, str | int]:
-    """The JSON body of POST /order."""
+    """Returns the JSON body of `POST /order`."""
     body: dict[str, str | int] = {"operation": order.operation.value, "model": order.model}
     if order.adapter:
         body["adapter"] = order.adapter
@@ -258,7 +264,10 @@
 
 
 def parse_report(document: dict[str, Any]) -> WorkerReport:
-    """Read the JSON of GET /report; raises KeyError, TypeError or ValueError for anything else."""
+    """Parses the JSON document of `GET /report`.
+
+    Raises KeyError, TypeError or ValueError if the document is malformed.
+    """
     models = tuple(
         HeldModel(str(model["name"]), int(model.get("version", 1)), tuple(model.get("adapters", ())))
         for model in document["models"]
--- a/arrowfold/controlplane/placement_service.py
+++ b/arrowfold/controlplane/placement_service.py
@@ -1,6 +1,6 @@
-"""Runs the placement of every service with models while this node owns it.
+"""Runs the placement of each service with models for which this node holds the placement role.
 
-Each service's placement is a fenced role of its own; `RoleAuthority` tells whether this node may act on it.
+The placement of each service is a separate fenced role; `RoleAuthority` decides whether this node may act.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class PlacementService:
-    """Starts and ends the executors of all services with models."""
+    """Starts the placement executors of services with models and cancels them on shutdown."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         options: PlacementOptions,
         traces: TraceWriter | None = None,
     ) -> None:
-        """`traces` takes a record of each load."""
+        """Creates the service; `traces` receives a record of each load."""
         self._options = options
         self._traces = traces
         self._replica = replica
@@ -53,15 +53,15 @@
         self._log = log
         self._session: aiohttp.ClientSession | None = None
         self._catalogues: dict[str, ModelCatalogue] = {}
-        self._read_sequence = -1
+        self._catalogue_sequence = -1
         self._executors: dict[str, tuple[PlacementExecutor, asyncio.Task[None]]] = {}
 
     async def run(self) -> None:
-        """Follow the ownership until cancelled."""
+        """Starts executors for owned placement roles until cancelled."""
         self._session = order_session()
         try:
             while True:
-                self._follow_roles(self._session)
+                self._start_owned_executors(self._session)
                 await asyncio.sleep(CHECK_INTERVAL_S)
         finally:
             for _, task in self._executors.values():
@@ -69,31 +69,31 @@
             await self._session.close()
 
     async def on_demand(self, report: DemandReport) -> Acknowledgement:
-        """An edge tells what it saw."""
+        """Passes a demand report of an edge to all executors."""
         for executor, _ in list(self._executors.values()):
             executor.take_demand(report)
         return Acknowledgement()
 
     def wake(self) -> None:
-        """Workers or the committed state have changed."""
+        """Wakes all executors after a change of the workers or of the committed state."""
         for executor, _ in list(self._executors.values()):
             executor.wake()
 
     def workers(self) -> Iterable[WorkerRecord]:
-        """Every worker known now."""
+        """Returns all known workers."""
         return self._workers()
 
     def catalogue(self, service: str) -> ModelCatalogue | None:
-        """The models of a service by the configuration in force."""
-        self._read_configuration()
+        """Returns the model catalogue of a service from the current configuration, or None if it has none."""
+        self._refresh_catalogues()
         return self._catalogues.get(service)
 
     def publish(self, service: str, token: int, corrections: tuple[WorkerCorrection, ...]) -> None:
-        """Bring these corrections to every edge."""
+        """Publishes the corrections of a service to all edges."""
         self._notices.publish(service, token, corrections)
 
-    def _follow_roles(self, session: aiohttp.ClientSession) -> None:
-        self._read_configuration()
+    def _start_owned_executors(self, session: aiohttp.ClientSession) -> None:
+        self._refresh_catalogues()
         for service in self._catalogues:
             running = self._executors.get(service)
             if running is not None and not running[1].done():
@@ -108,13 +108,13 @@
             self._executors[service] = (executor, asyncio.create_task(executor.run()))
             self._log.info("placement.owned", service=service, token=lease.token)
 
-    def _read_configuration(self) -> None:
+    def _refresh_catalogues(self) -> None:
         state = self._replica.committed
-        if state.configuration is None or state.configuration_sequence == self._read_sequence:
+        if state.configuration is None or state.configuration_sequence == self._catalogue_sequence:
             return
-        self._read_sequence = state.configuration_sequence
+        self._catalogue_sequence = state.configuration_sequence
         document = read_object(state.configuration).ok()
         if document is None:
             return
-        found = (catalogue_of(service) for service in document.get("services", ()))
-        self._catalogues = {catalogue.service: catalogue for catalogue in found if catalogue is not None}
+        catalogues = (catalogue_of(service) for service in document.get("services", ()))
+        self._catalogues = {catalogue.service: catalogue for catalogue in catalogues if catalogue is not None}
