--- a/arrowfold/controlplane/distribution.py
+++ b/arrowfold/controlplane/distribution.py
@@ -1,4 +1,4 @@
-"""Answers to pulls: what a puller lacks by its version vector, at once or as soon as there is something."""
+"""Answers pulls with the updates that the version vector of the puller lacks, as soon as there are any."""
 
 from __future__ import annotations
 
@@ -29,30 +29,31 @@
 from arrowfold.replication.proposals import ReplicaPort
 from arrowfold.replication.state import REMEMBERED_DELTAS, ControlState
 
-LONGEST_WAIT_S = 5.0
-ANSWERS_A_S = 500.0  # to edges with ordinary news, over all edges: several changes then go in one answer
-LONGEST_SPACING_S = 0.4  # between two answers with ordinary news to one edge
-NOTICES_A_S = 100.0  # of ordinary news without the news itself, over all edges
-LONGEST_NOTICE_SPACING_S = 1.0
-CURRENT_VALID_S = 0.005  # many pulls look at once whether this node is current; far below a lease's margin
-MOST_REMEMBERED = 4096  # pullers whose last answer is remembered
+MAX_PULL_WAIT_S = 5.0
+ANSWERS_PER_S = 500.0  # with ordinary updates, over all edges: several changes share an answer beyond it
+LONGEST_SPACING_S = 0.4  # maximum time between two answers with ordinary updates to one edge
+NOTICES_PER_S = 100.0  # answers without the ordinary updates themselves, over all edges
+MAX_NOTICE_SPACING_S = 1.0
+CURRENT_VALID_S = 0.005  # caches the check for concurrent pulls; far below the safety margin of a lease
+MAX_REMEMBERED_PULLERS = 4096  # for which the time of the last answer is kept
 StateUpdate = ConfigurationUpdate | ConfigurationDelta | DepartureUpdate
 
-# Redacted once for each text, not for each edge. Two whole ones, since answers may overlap a change.
+# Keys are redacted once for each text, not for each edge. Two documents are cached, because answers with the
+# previous one may overlap a change.
 _document_without_keys = functools.lru_cache(maxsize=2)(text_without_keys)
 _patch_without_keys = functools.lru_cache(maxsize=REMEMBERED_DELTAS)(change_text_without_keys)
 
 
 def configuration_updates(state: ControlState, since: int) -> tuple[StateUpdate, ...]:
-    """The steps from the configuration at position `since` to the newest, or the whole document.
+    """Returns the deltas from the configuration at position `since` to the latest, or the whole document.
 
-    They hold digests in place of tenants' keys.
+    The updates hold digests in place of the API keys of tenants.
     """
     if state.configuration is None or state.configuration_sequence <= since:
         return ()
     steps = tuple(patch for patch in state.patches if patch.sequence > since)
-    chained = bool(steps) and 0 < steps[0].base_sequence <= since
-    if not chained or sum(len(step.patch) for step in steps) >= len(state.configuration):
+    has_base = bool(steps) and 0 < steps[0].base_sequence <= since
+    if not has_base or sum(len(step.patch) for step in steps) >= len(state.configuration):
         document = _document_without_keys(state.configuration)
         return (ConfigurationUpdate(state.configuration_sequence, state.configuration_version, document),)
     return tuple(
@@ -62,7 +63,7 @@
 
 
 def state_updates(state: ControlState, since: int) -> tuple[StateUpdate, ...]:
-    """Everything committed after position `since`, for distribution."""
+    """Returns the updates for everything that was committed after position `since`."""
     departures = tuple(
         DepartureUpdate(departure.sequence, instance, departure.state, departure.remaining_ms)
         for instance, departure in state.departures.items()
@@ -71,19 +72,19 @@
     return (*departures, *configuration_updates(state, since))
 
 
-class News(Enum):
-    """What there is for a puller."""
+class UpdateUrgency(Enum):
+    """Urgency of the updates that are available for a puller."""
 
     NONE = 0
-    ORDINARY = 1  # workers' records and placements: several may go in one answer
-    URGENT = 2  # configurations, departures, another epoch: answered at once
+    ORDINARY = 1  # worker records and placements: several may be combined in one answer
+    URGENT = 2  # configurations, departures, a new epoch: answered immediately
 
 
 class Distributor:
-    """Holds pulls open until there is something new for them.
+    """Keeps pulls open until there are updates for them.
 
-    In a large fleet ordinary news waits a little for more, so that the work for it grows with the edges and
-    not with edges times changes.
+    In a large fleet ordinary updates are delayed and combined, so that the work grows with the number of
+    edges and not with the number of edges times changes.
     """
 
     def __init__(
@@ -102,24 +103,24 @@
         self._changed = asyncio.Event()
         self._urgently_changed = asyncio.Event()
         self._vector: dict[str, int] | None = None
-        self._view: tuple[ClusterView, int] | None = None
-        self._answered_s: dict[str, float] = {}  # by member: the last answer with ordinary news
-        self._current = (-math.inf, False)  # when it was last looked at, and whether this node was current
+        self._cached_view: tuple[ClusterView, int] | None = None
+        self._last_answer_s: dict[str, float] = {}  # time of the last answer, by member
+        self._current_check = (-math.inf, False)  # time of the last check, and its result
 
     def wake(self) -> None:
-        """There is ordinary news: look after the pulls that wait for some."""
+        """Wakes the pulls that wait for ordinary updates."""
         self._vector = None
         self._changed.set()
         self._changed = asyncio.Event()
 
     def wake_urgently(self) -> None:
-        """The committed state, the epoch or who is current may have changed."""
+        """Wakes all pulls after a possible change of the committed state, the epoch or `is_current`."""
         self._urgently_changed.set()
         self._urgently_changed = asyncio.Event()
         self.wake()
 
     def vector(self) -> dict[str, int]:
-        """The version vector of what this node can hand on."""
+        """Returns the version vector of the updates that this node can distribute."""
         return {
             **self._registry.vector(),
             **self._notices.vector(),
@@ -127,7 +128,7 @@
         }
 
     def view(self) -> ClusterView:
-        """The group as this node knows it."""
+        """Returns the group as known to this node."""
         primary = self._replica.primary()
         return ClusterView(
             epoch=self._replica.epoch,
@@ -137,53 +138,53 @@
             roles=self._roles(),
         )
 
-    def _news(self, request: PullRequest, known_epoch: int, known_current: bool) -> News:
+    def _update_urgency(self, request: PullRequest, known_epoch: int, known_current: bool) -> UpdateUrgency:
         if self._replica.epoch != known_epoch or self._is_current() != known_current:
-            return News.URGENT
+            return UpdateUrgency.URGENT
         if self._replica.committed.sequence > request.vector.get(STATE_ORIGIN, 0):
-            return News.URGENT
+            return UpdateUrgency.URGENT
         if self._vector is None:
             self._vector = self.vector()
         known = request.vector
-        lacks = any(counter > known.get(origin, 0) for origin, counter in self._vector.items())
-        return News.ORDINARY if lacks else News.NONE
+        is_behind = any(counter > known.get(origin, 0) for origin, counter in self._vector.items())
+        return UpdateUrgency.ORDINARY if is_behind else UpdateUrgency.NONE
 
     def _is_current(self) -> bool:
-        """Whether this node heard from the primary lately, or leads, as of some milliseconds ago."""
+        """Returns whether this node is the primary or in recent contact with it (cached briefly)."""
         now_s = asyncio.get_running_loop().time()
-        if now_s - self._current[0] > CURRENT_VALID_S:
-            self._current = (now_s, self._replica.is_current())
-        return self._current[1]
+        if now_s - self._current_check[0] > CURRENT_VALID_S:
+            self._current_check = (now_s, self._replica.is_current())
+        return self._current_check[1]
 
     def _spacing_s(self, notice_only: bool) -> float:
-        """How long an edge waits between two answers with ordinary news, or with a notice of some."""
+        """Returns the minimum time between two answers with ordinary updates, or notices, to an edge."""
         if notice_only:
-            return min(LONGEST_NOTICE_SPACING_S, self._presence.count() / NOTICES_A_S)
-        return min(LONGEST_SPACING_S, self._presence.count() / ANSWERS_A_S)
+            return min(MAX_NOTICE_SPACING_S, self._presence.count() / NOTICES_PER_S)
+        return min(LONGEST_SPACING_S, self._presence.count() / ANSWERS_PER_S)
 
     async def pull(self, request: PullRequest) -> PullResponse:
-        """Answer a pull; an edge that pulls counts as present."""
-        self._presence.seen(request.sender)
+        """Answers a pull and records the contact of the edge that sent it."""
+        self._presence.record_contact(request.sender)
         clock = asyncio.get_running_loop().time
-        deadline = clock() + min(request.wait_s, LONGEST_WAIT_S)
+        deadline_s = clock() + min(request.wait_s, MAX_PULL_WAIT_S)
         spacing_s = self._spacing_s(request.notice_only)
-        due = self._answered_s.get(request.sender.member, -math.inf) + spacing_s
+        earliest_s = self._last_answer_s.get(request.sender.member, -math.inf) + spacing_s
         epoch, current = self._replica.epoch, self._is_current()
-        while (news := self._news(request, epoch, current)) is not News.URGENT:
-            until = deadline if news is News.NONE else min(due, deadline)
-            if clock() >= until:
+        while (urgency := self._update_urgency(request, epoch, current)) is not UpdateUrgency.URGENT:
+            until_s = deadline_s if urgency is UpdateUrgency.NONE else min(earliest_s, deadline_s)
+            if clock() >= until_s:
                 break
-            changed = self._changed if news is News.NONE else self._urgently_changed
+            changed = self._changed if urgency is UpdateUrgency.NONE else self._urgently_changed
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout_at(until):
+                async with asyncio.timeout_at(until_s):
                     await changed.wait()
-        self._note_answer(request, clock())
+        self._record_answer(request, clock())
         return self._answer(request)
 
-    def _note_answer(self, request: PullRequest, now: float) -> None:
-        if len(self._answered_s) > MOST_REMEMBERED:
-            self._answered_s.clear()
-        self._answered_s[request.sender.member] = now
+    def _record_answer(self, request: PullRequest, now_s: float) -> None:
+        if len(self._last_answer_s) > MAX_REMEMBERED_PULLERS:
+            self._last_answer_s.clear()
+        self._last_answer_s[request.sender.member] = now_s
 
     def _answer(self, request: PullRequest) -> PullResponse:
         updates: tuple[WorkerUpdate | StateUpdate | PlacementUpdate, ...] = ()
@@ -195,12 +196,12 @@
                 *self._notices.missing(request.vector),
             )
         view, mark = self._marked_view()
-        told = None if mark == request.known_view else view
+        included_view = None if mark == request.known_view else view
         age_s = self._replica.state_age_s()
-        return PullResponse(self._replica.is_current(), told, self.vector(), updates, age_s)
+        return PullResponse(self._replica.is_current(), included_view, self.vector(), updates, age_s)
 
     def _marked_view(self) -> tuple[ClusterView, int]:
         view = self.view()
-        if self._view is None or self._view[0] != view:
-            self._view = (view, view_mark(view))
-        return self._view
+        if self._cached_view is None or self._cached_view[0] != view:
+            self._cached_view = (view, view_mark(view))
+        return self._cached_view
--- a/arrowfold/controlplane/peers.py
+++ b/arrowfold/controlplane/peers.py
@@ -1,4 +1,4 @@
-"""Pulls from other control nodes: worker records by version vector, and sightings of edge nodes."""
+"""Pulls worker records from other control nodes, and sends them the contact ages of edge nodes."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 PULL_WAIT_S = 2.0
 PULL_MARGIN_S = 0.7
-RETRY_PAUSE_S = 0.3
+RETRY_INTERVAL_S = 0.3
 SIGHTINGS_INTERVAL_S = 2.0
-ANY_POSITION = 2**62
-LIVE_S = PULL_WAIT_S + PULL_MARGIN_S + RETRY_PAUSE_S + 0.5  # after its last answer, a node counts as live
+UNBOUNDED_POSITION = 2**62  # above every position of an origin
+LIVENESS_TIMEOUT_S = PULL_WAIT_S + PULL_MARGIN_S + RETRY_INTERVAL_S + 0.5  # since the last answer of a node
 
 
 class PeerPulls:
-    """Keeps one long pull open to every other member of the group."""
+    """Keeps a long pull open to every other member of the group."""
 
     def __init__(
         self,
@@ -48,17 +48,18 @@
         self._caller = caller
         self._clock = clock
         self._on_change = on_change
-        self._answered_at: dict[str, float] = {}
+        self._last_answer_s: dict[str, float] = {}
         self._pulls: dict[str, asyncio.Task[None]] = {}
-        self._skipped = {STATE_ORIGIN}  # origins met that control nodes do not hand on to one another
+        # Known origins that control nodes don't distribute to one another.
+        self._ignored_origins = {STATE_ORIGIN}
 
     def is_live(self, origin: str) -> bool:
-        """Whether the control node that this origin belongs to answered lately."""
+        """Returns whether the control node of this origin has answered recently."""
         member = origin.partition(".")[0]
-        return self._clock() - self._answered_at.get(member, -LIVE_S) < LIVE_S
+        return self._clock() - self._last_answer_s.get(member, -LIVENESS_TIMEOUT_S) < LIVENESS_TIMEOUT_S
 
     def follow_members(self) -> None:
-        """Start pulls from new members and end those from members that left."""
+        """Starts pulls from new members and cancels those from members that have left."""
         members = {
             info.member: info for info in self._replica.members() if info.member != self._replica.member
         }
@@ -69,33 +70,37 @@
                 self._pulls[member] = asyncio.create_task(self._pull_from(info))
 
     def close(self) -> None:
-        """End all pulls."""
+        """Cancels all pulls."""
         for task in self._pulls.values():
             task.cancel()
 
     async def _pull_from(self, info: MemberInfo) -> None:
-        next_sightings = 0.0
+        next_sightings_s = 0.0
         while True:
             request = PullRequest(self._identity, self._vector(), PULL_WAIT_S)
             answer = await self._caller.call(info.address, request, PULL_WAIT_S + PULL_MARGIN_S)
-            found = answer.ok()
-            if not isinstance(found, PullResponse):
-                await asyncio.sleep(RETRY_PAUSE_S)
+            response = answer.ok()
+            if not isinstance(response, PullResponse):
+                await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
-            self._answered_at[info.member] = self._clock()
-            self._take(found)
-            if self._clock() >= next_sightings:
-                next_sightings = self._clock() + SIGHTINGS_INTERVAL_S
+            self._last_answer_s[info.member] = self._clock()
+            self._merge(response)
+            if self._clock() >= next_sightings_s:
+                next_sightings_s = self._clock() + SIGHTINGS_INTERVAL_S
                 await self._caller.call(info.address, EdgeSightings(self._presence.ages()), PULL_MARGIN_S)
 
     def _vector(self) -> dict[str, int]:
-        # The replicated state comes by replication, and placements go from their owner to the edges: any
-        # position of them counts as known here. Else each pull would be answered at once, for ever.
-        return {**self._registry.vector(), **dict.fromkeys(self._skipped, ANY_POSITION)}
+        # The replicated state is distributed by replication, and placements by their owner to the edges. Any
+        # position of these origins is declared as known; otherwise every pull would be answered immediately.
+        return {**self._registry.vector(), **dict.fromkeys(self._ignored_origins, UNBOUNDED_POSITION)}
 
-    def _take(self, response: PullResponse) -> None:
+    def _merge(self, response: PullResponse) -> None:
         updates = tuple(update for update in response.updates if isinstance(update, WorkerUpdate))
-        self._skipped.update(filter(is_placement_origin, response.vector))
-        vector = {origin: count for origin, count in response.vector.items() if origin not in self._skipped}
+        self._ignored_origins.update(filter(is_placement_origin, response.vector))
+        vector = {
+            origin: counter
+            for origin, counter in response.vector.items()
+            if origin not in self._ignored_origins
+        }
         if self._registry.merge(updates, vector):
             self._on_change()
--- a/tests/system/test_control_distribution.py
+++ b/tests/system/test_control_distribution.py
@@ -62,7 +62,7 @@
         self.replica: Any = _Replica()
         self.registry = WorkerRegistry("origin", clock, 1.2)
         presence = EdgePresence(clock, 3_600.0)
-        presence.learn({f"edge-{number}": 0.0 for number in range(edges)})
+        presence.merge_ages({f"edge-{number}": 0.0 for number in range(edges)})
         notices = PlacementNotices(lambda: None, clock)
         self.distributor = Distributor(self.replica, self.registry, presence, lambda: (), notices)
         self.vector: dict[str, int] = {}
