--- a/arrowfold/controlplane/node.py
+++ b/arrowfold/controlplane/node.py
@@ -1,4 +1,4 @@
-"""One control node: storage, replication, registry and both interfaces, put together."""
+"""A control node, assembled from storage, replication, worker registry, HTTP and internal interfaces."""
 
 from __future__ import annotations
 
@@ -26,8 +26,7 @@
     scaling_roles,
     usage_roles,
 )
-from arrowfold.controlplane.scaling_service import DUTY as SCALING_DUTY
-from arrowfold.controlplane.scaling_service import ScalingService
+from arrowfold.controlplane.scaling_service import SCALING_DUTY, ScalingService
 from arrowfold.controlplane.usage_decisions import UsageDecisions
 from arrowfold.controlplane.usage_service import UsageService
 from arrowfold.controlplane.usage_windows import LATE_REPORTS_SHARE, UsageGathering
@@ -65,16 +64,20 @@
 from arrowfold.storage.worker import ThreadDiskWorker
 
 SWEEP_INTERVAL_S = 0.5
-OPEN_RETRY_S = 0.3  # after a disk refused the first writes of a start
-LAST_CALLS_SHARE = 0.15  # of the grace time, for calls that are under way once the member has left
-EDGE_SILENCE_S = (
-    7.0  # an edge asks for news again within five: one that is silent for longer is not waited for
+STORAGE_RETRY_INTERVAL_S = (
+    0.3  # between attempts to open the storage at startup while the disk refuses writes
 )
-LEAVE_SHARE = 0.75  # of the grace time, for a stopping member to be released by the others
+CALL_DRAIN_GRACE_SHARE = (
+    0.15  # of the grace period, for calls in progress after the member has left the group
+)
+EDGE_PRESENCE_TIMEOUT_S = (
+    7.0  # an edge sends a pull at least every 5 s; one that is silent for longer is ignored
+)
+LEAVE_GRACE_SHARE = 0.75  # of the grace period, for the group to release a stopping member
 
 
 class ControlNode:
-    """A running control node; `start` builds it, `stop` hands over what it leads."""
+    """A control node; `start` assembles and starts it, `stop` hands over its roles and stops it."""
 
     def __init__(
         self,
@@ -84,7 +87,7 @@
         traces: TraceWriter | None = None,
         scaling: ScalingOptions | None = None,
     ) -> None:
-        """`traces` takes a record of each load that this node orders."""
+        """Creates a node; `traces` receives a record of each load that this node orders."""
         self._scaling_options = scaling or ScalingOptions()
         self._platform: PlatformClient | None = None
         self._placement_options = placement or PlacementOptions()
@@ -92,8 +95,8 @@
         self._settings = settings
         self._log = log
         self._disk = ThreadDiskWorker()
-        self._calls = ChannelClient()  # replication: short calls
-        self._passed_on = ChannelClient()  # calls passed on to the primary, and long pulls
+        self._replication_client = ChannelClient()  # short calls of the replication
+        self._forwarding_client = ChannelClient()  # calls forwarded to the primary, and long pulls
         self._tasks: list[asyncio.Task[None]] = []
         self._server: ChannelServer | None = None
         self._http: ControlHttpServer | None = None
@@ -101,7 +104,7 @@
         self._pulls: PeerPulls | None = None
 
     async def start(self) -> None:
-        """Recover the state, listen, and take part in the group."""
+        """Recovers the persisted state, starts the interfaces and joins the group."""
         settings = self._settings
         clock = asyncio.get_running_loop().time
         identity, durable = await self._recover(clock)
@@ -115,12 +118,12 @@
         member = GroupMember(info, identity.founder, durable, clock, Timings(), self._log)
         replica = self._replica = Replica(
             member,
-            self._calls,
+            self._replication_client,
             identity.seeds,
             settings.faultTolerance.machineLosses,
             self._log,
             random.Random(identity.member),
-            LEAVE_SHARE * settings.bounds.graceS,
+            LEAVE_GRACE_SHARE * settings.bounds.graceS,
         )
         replica.set_addresses(settings.seed_internal_addresses())
         origin = f"{identity.member}.{secrets.token_hex(3)}"
@@ -141,36 +144,36 @@
             self._placement_options,
             self._traces,
         )
-        configurations = ConfigurationService(replica, self._passed_on, self._log)
-        registrations = RegistrationService(replica, registry, self._passed_on, distributor.wake)
+        configurations = ConfigurationService(replica, self._forwarding_client, self._log)
+        registrations = RegistrationService(replica, registry, self._forwarding_client, distributor.wake)
         node = NodeIdentity(
             settings.nodeName, identity.member, settings.zone, settings.internal_address, settings.serves
         )
         pulls = self._pulls = PeerPulls(
-            node, replica, registry, presence, self._passed_on, clock, distributor.wake
+            node, replica, registry, presence, self._forwarding_client, clock, distributor.wake
         )
-        cloud = settings.cloudApi
-        duties = cloud.duties if cloud is not None else ()
-        if cloud is not None:
-            self._platform = PlatformClient(cloud.address)
+        cloud_api = settings.cloudApi
+        duties = cloud_api.duties if cloud_api is not None else ()
+        if cloud_api is not None:
+            self._platform = PlatformClient(cloud_api.address)
         scaling = self._scaling_service(replica, authority, registry, clock)
 
-        def wanted_roles(state: ControlState) -> tuple[str, ...]:
+        def required_roles(state: ControlState) -> tuple[str, ...]:
             workers = () if scaling is None else scaling_roles(state, scaling.zones)
             return (*placement_roles(state), *usage_roles(duties), *workers)
 
-        replica.want_roles(wanted_roles, companion_role)
+        replica.want_roles(required_roles, companion_role)
         replica.add_listener(authority.observe)
         replica.add_listener(distributor.wake_urgently)
         replica.add_listener(pulls.follow_members)
         replica.add_listener(placement.wake)
         handlers = {
             **replica.handlers(),
-            **_plane_handlers(distributor, configurations, registrations, presence, placement, scaling),
+            **_control_handlers(distributor, configurations, registrations, presence, placement, scaling),
         }
-        if cloud is not None and USAGE_DUTY in duties:
-            decisions = UsageDecisions(replica, self._passed_on)
-            usage = self._usage_service(cloud, decisions, authority, presence, clock)
+        if cloud_api is not None and USAGE_DUTY in duties:
+            decisions = UsageDecisions(replica, self._forwarding_client)
+            usage = self._usage_service(cloud_api, decisions, authority, presence, clock)
             handlers |= _usage_handlers(decisions, usage)
             self._tasks.append(asyncio.create_task(usage.run()))
         self._server = ChannelServer(handlers)
@@ -182,14 +185,14 @@
         self._tasks.append(asyncio.create_task(placement.run()))
         if scaling is not None:
             self._tasks.append(asyncio.create_task(scaling.run()))
-        self._tasks.append(asyncio.create_task(_sweep(registry, pulls, distributor)))
+        self._tasks.append(asyncio.create_task(_sweep_registry(registry, pulls, distributor)))
         self._log.info(
             "control.started", member=identity.member, founder=identity.founder, epoch=replica.epoch
         )
 
     def _usage_service(
         self,
-        cloud: CloudApi,
+        cloud_api: CloudApi,
         decisions: UsageDecisions,
         authority: RoleAuthority,
         presence: EdgePresence,
@@ -201,9 +204,9 @@
             decisions,
             authority,
             self._platform,
-            lambda: presence.names(EDGE_SILENCE_S),
+            lambda: presence.names(EDGE_PRESENCE_TIMEOUT_S),
             UsageGathering(LATE_REPORTS_SHARE * self._settings.bounds.usageDelayS),
-            cloud.dutyRateS,
+            cloud_api.dutyRateS,
             clock,
             self._log,
         )
@@ -215,7 +218,7 @@
         registry: WorkerRegistry,
         clock: Callable[[], float],
     ) -> ScalingService | None:
-        """The duty of ordering workers, where the platform has it and the policy switches it on."""
+        """Returns the scaling service, or None unless the platform and the policy both enable it."""
         api = self._settings.cloudApi
         if api is None or SCALING_DUTY not in api.duties or not self._scaling_options.orders:
             return None
@@ -244,20 +247,23 @@
                 return opened.identity, DurableImage(opened.log, self._disk, clock, opened.image)
             except OSError as error:
                 self._log.warning("storage.open_failed", reason=str(error))
-                await asyncio.sleep(OPEN_RETRY_S)
+                await asyncio.sleep(STORAGE_RETRY_INTERVAL_S)
 
     def apply_settings(self, settings: NodeSettings) -> None:
-        """Take changed settings: other seeds."""
+        """Applies changed settings, such as other seed addresses."""
         self._settings = settings
         if self._replica is not None:
             self._replica.set_addresses(settings.seed_internal_addresses())
 
     async def stop(self, told_ago_s: float = 0.0) -> None:
-        """Hand over what this node leads, answer the calls that are under way, and stop."""
+        """Hands over the leadership, answers the calls in progress and stops.
+
+        `told_ago_s` has no effect here.
+        """
         if self._replica is not None:
             await self._replica.stop()
         if self._http is not None:
-            await self._http.end(LAST_CALLS_SHARE * self._settings.bounds.graceS)
+            await self._http.end(CALL_DRAIN_GRACE_SHARE * self._settings.bounds.graceS)
         for task in self._tasks:
             task.cancel()
         if self._pulls is not None:
@@ -266,8 +272,8 @@
             await self._server.close()
         if self._platform is not None:
             await self._platform.close()
-        self._calls.close()
-        self._passed_on.close()
+        self._replication_client.close()
+        self._forwarding_client.close()
         self._disk.close()
 
 
@@ -277,7 +283,7 @@
     )
 
 
-def _plane_handlers(
+def _control_handlers(
     distributor: Distributor,
     configurations: ConfigurationService,
     registrations: RegistrationService,
@@ -285,11 +291,11 @@
     placement: PlacementService,
     scaling: ScalingService | None,
 ) -> dict[type[Any], Callable[[Any], Awaitable[Any]]]:
-    async def sightings(message: EdgeSightings) -> Acknowledgement:
-        presence.learn(message.ages_s)
+    async def on_sightings(message: EdgeSightings) -> Acknowledgement:
+        presence.merge_ages(message.ages_s)
         return Acknowledgement()
 
-    async def demand(report: DemandReport) -> Acknowledgement:
+    async def on_demand_report(report: DemandReport) -> Acknowledgement:
         if scaling is not None:
             scaling.take_demand(report)
         return await placement.on_demand(report)
@@ -299,8 +305,8 @@
         SubmitChange: configurations.on_submit,
         ReadConfiguration: configurations.on_read,
         SubmitDeparture: registrations.on_departure,
-        EdgeSightings: sightings,
-        DemandReport: demand,
+        EdgeSightings: on_sightings,
+        DemandReport: on_demand_report,
     }
 
 
@@ -314,7 +320,7 @@
     }
 
 
-async def _sweep(registry: WorkerRegistry, pulls: PeerPulls, distributor: Distributor) -> None:
+async def _sweep_registry(registry: WorkerRegistry, pulls: PeerPulls, distributor: Distributor) -> None:
     while True:
         await asyncio.sleep(SWEEP_INTERVAL_S)
         if registry.sweep(pulls.is_live):
--- a/arrowfold/controlplane/platform_client.py
+++ b/arrowfold/controlplane/platform_client.py
@@ -1,4 +1,7 @@
-"""Calls to the platform that one node at a time owes: each names its holder and carries a fencing token."""
+"""Client for platform duties, each of which one node holds at a time.
+
+Each call carries the name of the holder and its fencing token.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +15,12 @@
 
 CONNECT_TIMEOUT_S = 0.5
 ANSWER_TIMEOUT_S = 3.0
-KEEP_CONNECTION_S = 10.0
+IDLE_CONNECTION_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class DutyCall:
-    """One call. `body`: JSON; a repeat of a call carries the same bytes."""
+    """One call. `body`: JSON; a repeated call carries the same bytes."""
 
     path: str
     body: bytes
@@ -26,35 +29,35 @@
 
 
 class DutyAnswer(Enum):
-    """What came of a call."""
+    """Outcome of a call."""
 
     ACCEPTED = "accepted"
     FENCED = "fenced"  # the platform has seen a higher token
-    BUSY = "busy"  # too many calls; it was not taken
+    BUSY = "busy"  # over the call rate; not accepted
     REFUSED = "refused"  # any other 4xx
-    UNSENT = "unsent"  # no connection came up
-    UNANSWERED = "unanswered"  # it may have been taken
+    UNSENT = "unsent"  # no connection could be established
+    UNANSWERED = "unanswered"  # may have been accepted
 
 
 class DutyPlatform(Protocol):
-    """The platform as duties use it."""
+    """Interface of the platform to the duties."""
 
     async def send(self, call: DutyCall) -> DutyAnswer:
-        """Make one call and tell what came of it; never raises for what the platform does."""
+        """Makes one call and returns its outcome; failures of the platform are never raised."""
 
 
 class PlatformClient:
-    """The platform's API over HTTP."""
+    """Client for the HTTP API of the platform."""
 
     def __init__(self, address: str) -> None:
-        """`address`: HOST:PORT."""
+        """Creates a client; `address`: HOST:PORT of the platform."""
         self._address = address
         self._session: aiohttp.ClientSession | None = None
 
     async def send(self, call: DutyCall) -> DutyAnswer:
-        """Make one call and tell what came of it."""
+        """Makes one call and returns its outcome."""
         if self._session is None:
-            self._session = resetting_session(CONNECT_TIMEOUT_S, ANSWER_TIMEOUT_S, KEEP_CONNECTION_S)
+            self._session = resetting_session(CONNECT_TIMEOUT_S, ANSWER_TIMEOUT_S, IDLE_CONNECTION_TIMEOUT_S)
         headers = {
             "Content-Type": "application/json",
             "X-Duty-Holder": call.holder,
@@ -64,19 +67,19 @@
         try:
             async with self._session.post(url, data=call.body, headers=headers) as response:
                 await response.read()
-                return _answer_of(response.status)
+                return _answer_for_status(response.status)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return DutyAnswer.UNSENT
         except (aiohttp.ClientError, TimeoutError, OSError):
             return DutyAnswer.UNANSWERED
 
     async def close(self) -> None:
-        """Close its connections; a call under way is given up."""
+        """Closes the connections; calls in progress are abandoned."""
         if self._session is not None:
             await self._session.close()
 
 
-def _answer_of(status: int) -> DutyAnswer:
+def _answer_for_status(status: int) -> DutyAnswer:
     if 200 <= status < 300:
         return DutyAnswer.ACCEPTED
     if status == 409:
--- a/arrowfold/controlplane/role_names.py
+++ b/arrowfold/controlplane/role_names.py
@@ -1,7 +1,7 @@
-"""The names of fenced roles: placements of models, and duties towards the platform.
+"""Names of fenced roles: placements of models, and duties towards the platform.
 
-A configuration asks for one placement for each service with an engine. Usage is one duty, the workers of a
-service in a zone are one each.
+There is one placement role for each configured service with an engine, one duty for usage reports, and one
+scaling duty for each service and zone.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 PLACEMENT_PREFIX = "placement/"
 USAGE_ROLE = "duty/usage"
 SCALING_PREFIX = "duty/scaling/"
-USAGE_DUTY = "usage_report"  # the duty's name in the settings
+USAGE_DUTY = "usage_report"  # name of the duty in the settings
 
 
 @functools.lru_cache(maxsize=2)
@@ -25,24 +25,24 @@
 
 
 def placement_role(service: str) -> str:
-    """The name of the role that places models on the workers of a service."""
+    """Returns the name of the role that places models on the workers of a service."""
     return PLACEMENT_PREFIX + service
 
 
 def scaling_role(service: str, zone: str) -> str:
-    """The name of the role that orders a service's workers in a zone."""
+    """Returns the name of the role that orders the workers of a service in a zone."""
     return f"{SCALING_PREFIX}{service}/{zone}"
 
 
 def placement_roles(state: ControlState) -> tuple[str, ...]:
-    """The roles that the committed configuration asks for."""
+    """Returns the placement roles that the committed configuration requires."""
     if state.configuration is None:
         return ()
     return tuple(placement_role(service) for service in _services_with_engine(state.configuration))
 
 
 def usage_roles(duties: tuple[str, ...]) -> tuple[str, ...]:
-    """The role that reports usage, where it is among the duties of the settings."""
+    """Returns the role that reports usage if it is among the duties of the settings."""
     return (USAGE_ROLE,) if USAGE_DUTY in duties else ()
 
 
@@ -53,9 +53,9 @@
 
 
 def scaling_roles(state: ControlState, zones: Callable[[str], Iterable[str]]) -> tuple[str, ...]:
-    """The duties of ordering workers that the committed configuration asks for.
+    """Returns the scaling duties that the committed configuration requires.
 
-    `zones`: those in which workers of a service are known.
+    `zones`: returns the zones that have known workers of a service.
     """
     if state.configuration is None:
         return ()
@@ -64,7 +64,10 @@
 
 
 def companion_role(role: str) -> str | None:
-    """The role whose holder orders workers, too: edges report a service's demand to its placement."""
+    """Returns the placement role whose holder must also hold a scaling duty; None for other roles.
+
+    They share a holder because edges report the demand of a service to the holder of its placement.
+    """
     if not role.startswith(SCALING_PREFIX):
         return None
     service, _, _ = role.removeprefix(SCALING_PREFIX).rpartition("/")
--- a/arrowfold/controlplane/scaling_service.py
+++ b/arrowfold/controlplane/scaling_service.py
@@ -1,7 +1,7 @@
-"""Runs the duty of ordering workers, for each service and zone in which this node holds it.
+"""Runs the duty of ordering workers for each service and zone for which this node holds it.
 
-Each is a fenced role of its own. All zones of a service fall to the node that places the service's models,
-since that is where edges report its demand.
+Each duty is a separate fenced role. The duties for all zones of a service are assigned to the node that
+places its models, because edges report the demand of the service there.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from arrowfold.controlplane.duty_pace import DutyPace
 from arrowfold.controlplane.platform_client import DutyPlatform
 from arrowfold.controlplane.role_names import scaling_role
-from arrowfold.controlplane.scaling_subject import ScalingPorts, ScalingSubject, Subject
+from arrowfold.controlplane.scaling_subject import ScalingPorts, ScalingTenure, ServiceZone
 from arrowfold.internal.messages import DemandReport, WorkerRecord
 from arrowfold.node.logs import RateLimitedLog
 from arrowfold.placement.catalogue import ModelCatalogue, catalogue_of
@@ -26,21 +26,24 @@
 from arrowfold.scaling.zone_fleet import ZoneFleet, zone_fleets
 from arrowfold.scaling.zone_scaler import Situation
 
-DUTY = "autoscale"  # as the settings name it
+SCALING_DUTY = "autoscale"  # name of the duty in the settings
 CHECK_INTERVAL_S = 0.5
-RATE_SHARE = 0.5  # of what the platform accepts; the rest is left for other duties
+PLATFORM_RATE_SHARE = 0.5  # of the call rate that the platform accepts; the rest is left for other duties
 
 
 @dataclass(frozen=True, slots=True)
 class _ScaledService:
-    """A service whose workers are ordered, as the configuration in force has it."""
+    """A service with scaling in the current configuration.
+
+    `models_per_worker`: how many models of the largest size fit on one worker; 0 if unknown.
+    """
 
     bounds: ScalingBounds
-    models_a_worker: int
+    models_per_worker: int
 
 
 class ScalingService:
-    """Holds a `ScalingSubject` for each tenure of this node."""
+    """Maintains a `ScalingTenure` for each duty that this node holds."""
 
     def __init__(
         self,
@@ -54,98 +57,103 @@
         log: RateLimitedLog,
         options: ScalingOptions,
     ) -> None:
-        """`holder`: this machine's name; `duty_rate_s`: calls a second that all nodes together may make."""
+        """Creates the service.
+
+        `holder`: name of this node. `duty_rate_s`: calls per second that all nodes together may make.
+        """
         self._replica = replica
         self._authority = authority
         self._workers = workers
         self._clock = clock
         self._options = options
         self._duty_rate_s = duty_rate_s
-        self._pace = DutyPace(RATE_SHARE * duty_rate_s)
+        self._pace = DutyPace(PLATFORM_RATE_SHARE * duty_rate_s)
         self._ports = ScalingPorts(platform, self._pace, holder, clock, log)
         self._services: Mapping[str, _ScaledService] = {}
-        self._read_sequence = -1
+        self._services_sequence = -1
         self._loads: dict[str, ServiceLoad] = {}
-        self._subjects: dict[Subject, ScalingSubject] = {}
+        self._tenures: dict[ServiceZone, ScalingTenure] = {}
 
     async def run(self) -> None:
-        """Follow the roles until cancelled."""
+        """Runs a step at each interval until cancelled."""
         try:
             while True:
                 self.step()
                 await asyncio.sleep(CHECK_INTERVAL_S)
         finally:
-            for subject in self._subjects.values():
-                subject.close()
+            for tenure in self._tenures.values():
+                tenure.close()
 
     def take_demand(self, report: DemandReport) -> None:
-        """An edge tells what it saw."""
+        """Adds a demand report of an edge to the loads of the services."""
         for load in self._loads.values():
             load.add(report, self._clock())
 
     def zones(self, service: str) -> Iterable[str]:
-        """The zones in which workers of a service are known."""
+        """Returns the zones that have known workers of a service."""
         return zone_fleets(self._workers(), service)
 
     def step(self) -> None:
-        """Look at every service once."""
-        self._read_configuration()
+        """Evaluates each service and zone for which this node holds the duty once."""
+        self._refresh_services()
         records = tuple(self._workers()) if self._services else ()
         for service, scaled in self._services.items():
             fleets = zone_fleets(records, service)
             for zone, fleet in fleets.items():
-                subject = self._subject(Subject(service, zone))
-                if subject is not None and not subject.is_fenced:
-                    subject.step(self._situation(service, scaled, fleet, len(fleets)))
+                tenure = self._current_tenure(ServiceZone(service, zone))
+                if tenure is not None and not tenure.is_fenced:
+                    tenure.step(self._situation(service, scaled, fleet, len(fleets)))
 
     def _situation(self, service: str, scaled: _ScaledService, fleet: ZoneFleet, zones: int) -> Situation:
         now_s = self._clock()
         load = self._loads[service].at(now_s)
-        return Situation(now_s, scaled.bounds, fleet, load, zones, scaled.models_a_worker)
+        return Situation(now_s, scaled.bounds, fleet, load, zones, scaled.models_per_worker)
 
-    def _subject(self, key: Subject) -> ScalingSubject | None:
-        """This node's tenure of a duty, if it has it."""
+    def _current_tenure(self, key: ServiceZone) -> ScalingTenure | None:
+        """Returns the current tenure of a duty, or None if this node does not hold it."""
         tenure = self._authority.tenure(scaling_role(key.service, key.zone))
-        known = self._subjects.get(key)
+        known = self._tenures.get(key)
         if tenure is not None and known is not None and known.token == tenure.token:
             return known
         if known is not None:
             known.close()
-            del self._subjects[key]
+            del self._tenures[key]
         if tenure is None:
             return None
         lease = HeldRoleLease(self._authority, tenure, self._clock)
-        self._subjects[key] = ScalingSubject(key, lease, self._ports, self._options)
-        return self._subjects[key]
+        self._tenures[key] = ScalingTenure(key, lease, self._ports, self._options)
+        return self._tenures[key]
 
-    def _read_configuration(self) -> None:
+    def _refresh_services(self) -> None:
         state = self._replica.committed
-        if state.configuration is None or state.configuration_sequence == self._read_sequence:
+        if state.configuration is None or state.configuration_sequence == self._services_sequence:
             return
-        self._read_sequence = state.configuration_sequence
+        self._services_sequence = state.configuration_sequence
         self._services = _scaled_services(state.configuration)
         self._loads = {name: self._loads.get(name) or self._new_load(name) for name in self._services}
-        # All zones of a service are one node's, so no more nodes call than there are services.
-        self._pace.calls_per_s = RATE_SHARE * self._duty_rate_s / max(1, len(self._services))
+        # One node holds all zones of a service, so there are at most as many calling nodes as services.
+        self._pace.calls_per_s = PLATFORM_RATE_SHARE * self._duty_rate_s / max(1, len(self._services))
 
     def _new_load(self, service: str) -> ServiceLoad:
         return ServiceLoad(service, self._options.models_kept_s)
 
 
 def _scaled_services(configuration: bytes) -> dict[str, _ScaledService]:
-    """The services of a configuration whose workers are ordered, by name."""
+    """Returns the services of a configuration that have scaling, by name."""
     document = read_object(configuration).ok()
     if document is None:
         return {}
-    found = {}
+    scaled_services = {}
     for service in document.get("services", ()):
         bounds = scaling_of(service)
         if bounds is not None:
-            found[bounds.service] = _ScaledService(bounds, _models_a_worker(catalogue_of(service)))
-    return found
+            scaled_services[bounds.service] = _ScaledService(
+                bounds, _models_per_worker(catalogue_of(service))
+            )
+    return scaled_services
 
 
-def _models_a_worker(catalogue: ModelCatalogue | None) -> int:
+def _models_per_worker(catalogue: ModelCatalogue | None) -> int:
     if catalogue is None:
         return 0
     largest_mb = max(spec.weights_mb for spec in catalogue.models.values())
--- a/arrowfold/controlplane/usage_service.py
+++ b/arrowfold/controlplane/usage_service.py
@@ -1,8 +1,8 @@
 """Reports usage to the platform while this node holds the duty.
 
-Two steps that don't wait for each other: windows are decided as edges have told them, and what is decided and
-not accepted yet is sent, oldest first. What is sent comes from the replicated state alone, so whoever holds
-the duty sends the same bytes for a window.
+Two independent loops: one decides windows from the reports of the edges, the other sends decided windows that
+the platform has not accepted yet, oldest first. The bodies are built from the replicated state alone, so
+every holder of the duty sends the same bytes for a window.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 USAGE_PATH = "/usage"
 CHECK_INTERVAL_S = 0.2
-WAY_S = 0.15  # of authority that must be left when a call is begun: its way to the platform
-RATE_SHARE = 0.2  # of the calls that the platform accepts from all nodes; the duty has one holder at a time
-FIRST_PAUSE_S = 1.0  # after a call that was not taken, or may not have been; doubled with each
-LONGEST_PAUSE_S = 4.0
+MIN_LEASE_REMAINING_S = 0.15  # required to start a call, so that it reaches the platform under the lease
+PLATFORM_RATE_SHARE = 0.2  # of the call rate that the platform accepts from all nodes; one holder calls
+INITIAL_BACKOFF_S = 1.0  # after a call that was or may have been rejected; doubled after each
+MAX_BACKOFF_S = 4.0
 NO_TOKEN = 0
 
 
 class UsageService:
-    """Gathers what edges tell, on every member, and acts where this one holds the duty."""
+    """Collects usage reports on every member and sends them to the platform while holding the duty."""
 
     def __init__(
         self,
@@ -43,48 +43,52 @@
         clock: Clock,
         log: RateLimitedLog,
     ) -> None:
-        """`name`: of this machine. `edges`: those that take traffic. `call_rate`: of all nodes, a second."""
+        """Creates the service.
+
+        `name`: name of this node. `edges`: returns the names of the edges that take traffic. `call_rate`:
+        calls per second that the platform accepts from all nodes.
+        """
         self._name = name
         self._decisions = decisions
         self._authority = authority
         self._platform = platform
         self._edges = edges
         self._gathering = gathering
-        self._call_spacing_s = 1.0 / (RATE_SHARE * call_rate)
+        self._call_spacing_s = 1.0 / (PLATFORM_RATE_SHARE * call_rate)
         self._clock = clock
         self._log = log
         self._lease: HeldRoleLease | None = None
         self._held_since_s = 0.0
-        self._refused_token = NO_TOKEN  # the platform has seen a higher one
-        self._accepted: set[int] = set()  # windows that are not marked yet
-        self._rejected: set[int] = set()  # windows that the platform does not take
-        self._pause_s = FIRST_PAUSE_S
+        self._fenced_token = NO_TOKEN  # refused by the platform, which has seen a higher one
+        self._accepted: set[int] = set()  # windows not yet marked as reported in the replicated state
+        self._rejected: set[int] = set()  # windows that the platform refused; not sent again in this tenure
+        self._backoff_s = INITIAL_BACKOFF_S
 
     async def run(self) -> None:
-        """Decide and send until cancelled."""
+        """Decides and sends windows until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._repeat(self._decide_next))
-            tasks.create_task(self._repeat(self._send_next))
+            tasks.create_task(self._run_repeatedly(self._decide_next))
+            tasks.create_task(self._run_repeatedly(self._send_next))
 
-    async def _repeat(self, step: Callable[[], Awaitable[float]]) -> None:
-        """Take a step again and again; each tells how long to wait before the next, in seconds."""
+    async def _run_repeatedly(self, step: Callable[[], Awaitable[float]]) -> None:
+        """Repeats a step, which returns the time until the next one in seconds."""
         while True:
             try:
-                pause_s = await step()
-            except Exception as error:  # the duty is owed whatever one step runs into
+                delay_s = await step()
+            except Exception as error:  # an error in one step must not end the duty
                 self._log.error("usage.failed", holder=self._name, error=repr(error))
-                pause_s = LONGEST_PAUSE_S
-            await asyncio.sleep(pause_s)
+                delay_s = MAX_BACKOFF_S
+            await asyncio.sleep(delay_s)
 
     async def on_report(self, report: UsageReport) -> UsageReceipt:
-        """An edge tells its counts; every member takes them, as it may hold the duty next."""
+        """Records the counts of an edge; on every member, as any may become the next holder of the duty."""
         decided_through = self._decisions.ledger.decided_through
         self._gathering.settle(decided_through)
         self._gathering.take(report, decided_through)
         return UsageReceipt(decided_through)
 
     def _current_lease(self) -> HeldRoleLease | None:
-        """The tenure under which this node may act long enough for one call, if there is one."""
+        """Returns the lease of the duty, or None if it is not held or too short for one more call."""
         tenure = self._authority.tenure(USAGE_ROLE)
         if tenure is None:
             self._lease = None
@@ -93,12 +97,12 @@
             self._lease = HeldRoleLease(self._authority, tenure, self._clock)
             self._held_since_s = self._clock()
             self._rejected.clear()
-            self._pause_s = FIRST_PAUSE_S
+            self._backoff_s = INITIAL_BACKOFF_S
             self._log.info("usage.owned", holder=self._name, token=tenure.token)
-        return self._lease if self._lease.remaining_s() > WAY_S else None
+        return self._lease if self._lease.remaining_s() > MIN_LEASE_REMAINING_S else None
 
     async def _decide_next(self) -> float:
-        """Have the oldest window decided, if it is due."""
+        """Has the oldest window decided if it is due; returns the time until the next step in seconds."""
         lease = self._current_lease()
         if lease is None:
             return CHECK_INTERVAL_S
@@ -121,44 +125,44 @@
         return CHECK_INTERVAL_S
 
     async def _send_next(self) -> float:
-        """Make one call if one is owed; how long to wait before the next, in seconds."""
+        """Sends one window if one is pending; returns the time until the next step in seconds."""
         await self._mark_accepted()
         lease = self._current_lease()
-        if lease is None or lease.token <= self._refused_token:
+        if lease is None or lease.token <= self._fenced_token:
             return CHECK_INTERVAL_S
-        owed = self._next_owed()
-        if owed is None:
+        unsent = self._next_pending_window()
+        if unsent is None:
             return CHECK_INTERVAL_S
-        call = DutyCall(USAGE_PATH, usage_body(owed), self._name, lease.token)
+        call = DutyCall(USAGE_PATH, usage_body(unsent), self._name, lease.token)
         answer = await self._platform.send(call)
         self._log.info(
-            "usage.sent", holder=self._name, token=lease.token, window=owed.window, answer=answer.value
+            "usage.sent", holder=self._name, token=lease.token, window=unsent.window, answer=answer.value
         )
-        return self._after(answer, owed.window, lease.token)
+        return self._record_answer(answer, unsent.window, lease.token)
 
-    def _next_owed(self) -> DecidedUsageWindow | None:
-        """The oldest decided window that the platform has yet to accept."""
+    def _next_pending_window(self) -> DecidedUsageWindow | None:
+        """Returns the oldest decided window that the platform has not accepted, or None."""
         pending = self._decisions.ledger.pending
-        owed = [window for window in pending if window not in self._accepted | self._rejected]
-        return DecidedUsageWindow(min(owed), pending[min(owed)]) if owed else None
+        unsent = [window for window in pending if window not in self._accepted | self._rejected]
+        return DecidedUsageWindow(min(unsent), pending[min(unsent)]) if unsent else None
 
-    def _after(self, answer: DutyAnswer, window: int, token: int) -> float:
-        """Take note of an answer; how long to wait before the next call, in seconds."""
+    def _record_answer(self, answer: DutyAnswer, window: int, token: int) -> float:
+        """Records an answer; returns the time until the next call in seconds."""
         if answer is DutyAnswer.ACCEPTED:
             self._accepted.add(window)
-            self._pause_s = FIRST_PAUSE_S
+            self._backoff_s = INITIAL_BACKOFF_S
             return self._call_spacing_s
         if answer is DutyAnswer.FENCED:
-            self._refused_token = max(self._refused_token, token)
+            self._fenced_token = max(self._fenced_token, token)
             return CHECK_INTERVAL_S
         if answer is DutyAnswer.REFUSED:
             self._rejected.add(window)
             self._log.error("usage.rejected", holder=self._name, token=token, window=window)
-        pause_s, self._pause_s = self._pause_s, min(LONGEST_PAUSE_S, 2 * self._pause_s)
-        return pause_s
+        delay_s, self._backoff_s = self._backoff_s, min(MAX_BACKOFF_S, 2 * self._backoff_s)
+        return delay_s
 
     async def _mark_accepted(self) -> None:
-        """Have accepted windows noted in the replicated state, so that no successor sends them again."""
+        """Marks accepted windows in the replicated state, so that no later holder sends them again."""
         for window in sorted(self._accepted):
             if window not in self._decisions.ledger.pending:
                 self._accepted.discard(window)
