--- a/arrowfold/registry/__init__.py
+++ b/arrowfold/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The workers known to the system: records by origin, version vectors, silence."""
+"""Registry of the known workers: records by origin, version vectors, heartbeat timeouts."""
