--- a/tests/system/test_placement_executor.py
+++ b/tests/system/test_placement_executor.py
@@ -1,4 +1,4 @@
-"""The placement's executor against a worker on loopback, and what edges make of its updates."""
+"""The placement executor against a loopback worker, and the application of its updates at edges."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from aiohttp import web
 
 from arrowfold.controlplane.placement_executor import (
-    ARRIVAL_S,
+    MIN_LEASE_REMAINING_S,
     PlacementExecutor,
     order_body,
     order_session,
@@ -44,7 +44,7 @@
 
 @dataclass
 class Lease:
-    """A tenure as the story sets it."""
+    """A lease that is controlled by the test."""
 
     left_s: float = 10.0
     tenured: bool = True
@@ -60,7 +60,7 @@
 
 @dataclass
 class Ports:
-    """A control plane that knows one worker."""
+    """A control plane with one worker."""
 
     record: WorkerRecord
     models: ModelCatalogue
@@ -77,7 +77,7 @@
 
 
 class LoopbackWorker:
-    """Answers reports, and orders with the given statuses in turn; None breaks the connection off."""
+    """Answers report reads, and orders with the given statuses in order; None aborts the connection."""
 
     def __init__(self, *statuses: int | None) -> None:
         self.statuses = list(statuses)
@@ -113,12 +113,12 @@
         return web.Response(status=status)
 
 
-def play(story: Callable[[], Awaitable[None]]) -> None:
-    """Run a story on loopback with a bound on its time."""
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
+    """Runs a scenario with a time limit."""
 
     async def bounded() -> None:
         async with asyncio.timeout(10):
-            await story()
+            await scenario()
 
     asyncio.run(bounded())
 
@@ -128,7 +128,7 @@
     return WorkerRecord("i-1", SERVICE, address, "z0", "v1", 64, "available", held, 1)
 
 
-def missed(model: str) -> DemandReport:
+def demand_for_missing(model: str) -> DemandReport:
     return DemandReport(EDGE, 0.5, (ClassDemand(SERVICE, model, "", 1.0, 0.5, 1.0),))
 
 
@@ -139,21 +139,21 @@
     return PlacementExecutor(SERVICE, lease, ports, Bounds(), session, clock), ports, session
 
 
-async def keep_asking(executor: PlacementExecutor, until: asyncio.Event) -> None:
-    while not until.is_set():
-        executor.take_demand(missed("m1"))
+async def keep_reporting_demand(executor: PlacementExecutor, event: asyncio.Event) -> None:
+    while not event.is_set():
+        executor.take_demand(demand_for_missing("m1"))
         await asyncio.sleep(0.01)
 
 
-def test_an_order_names_holder_token_revision_and_worker() -> None:
-    async def story() -> None:
-        # Given a worker and an executor whose lease holds
+def test_an_order_carries_holder_token_revision_and_worker() -> None:
+    async def scenario() -> None:
+        # Given a worker and an executor with a valid lease
         worker, lease = LoopbackWorker(), Lease()
         executor, ports, session = await executor_with(worker, lease)
         running = asyncio.create_task(executor.run())
-        # When a model is missed
-        await keep_asking(executor, worker.ordered)
-        # Then the order is as the protocol has it, and edges hear that the model arrives
+        # When there is demand for a missing model
+        await keep_reporting_demand(executor, worker.ordered)
+        # Then the order follows the protocol, and the load is published to edges
         assert worker.orders[0] == {
             "operation": "load",
             "model": "m1",
@@ -168,23 +168,23 @@
         await session.close()
         await worker.stop()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_no_order_leaves_without_enough_of_the_lease() -> None:
-    async def story() -> None:
-        # Given a lease with less time left than an order takes
-        worker, lease = LoopbackWorker(), Lease(left_s=ARRIVAL_S / 2)
+def test_no_order_is_sent_without_enough_lease_time() -> None:
+    async def scenario() -> None:
+        # Given a lease with less time left than an order needs
+        worker, lease = LoopbackWorker(), Lease(left_s=MIN_LEASE_REMAINING_S / 2)
         executor, _, session = await executor_with(worker, lease)
         running = asyncio.create_task(executor.run())
         for _ in range(20):
-            executor.take_demand(missed("m1"))
+            executor.take_demand(demand_for_missing("m1"))
             await asyncio.sleep(0.01)
         # When it is renewed
         assert worker.orders == []
         lease.left_s = 5.0
-        await keep_asking(executor, worker.ordered)
-        # Then the order leaves, and the executor ends with the tenure
+        await keep_reporting_demand(executor, worker.ordered)
+        # Then the order is sent, and the executor ends with the tenure
         assert len(worker.orders) == 1
         lease.tenured = False
         executor.wake()
@@ -192,52 +192,52 @@
         await session.close()
         await worker.stop()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_owner_that_was_fenced_off_ends() -> None:
-    async def story() -> None:
+def test_a_fenced_owner_stops() -> None:
+    async def scenario() -> None:
         # Given a worker that has seen a higher token
         worker, lease = LoopbackWorker(412), Lease()
         executor, _, session = await executor_with(worker, lease)
         running = asyncio.create_task(executor.run())
-        # When an order meets 412
-        await keep_asking(executor, worker.ordered)
+        # When an order is answered with 412
+        await keep_reporting_demand(executor, worker.ordered)
         # Then the executor ends
         await running
         assert len(worker.orders) == 1
         await session.close()
         await worker.stop()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_order_whose_connection_breaks_is_not_sent_again_unread() -> None:
-    async def story() -> None:
-        # Given a worker that breaks the connection off after it has read an order
+def test_an_order_whose_connection_breaks_is_not_repeated_before_the_report_is_read() -> None:
+    async def scenario() -> None:
+        # Given a worker that aborts the connection after it has read an order
         worker, lease = LoopbackWorker(None), Lease()
         executor, _, session = await executor_with(worker, lease)
         running = asyncio.create_task(executor.run())
-        await keep_asking(executor, worker.ordered)
-        # When more demand comes before the worker's report was read again
+        await keep_reporting_demand(executor, worker.ordered)
+        # When more demand arrives before the report of the worker has been read again
         for _ in range(20):
-            executor.take_demand(missed("m1"))
+            executor.take_demand(demand_for_missing("m1"))
             await asyncio.sleep(0.01)
-        # Then nothing more was ordered
+        # Then no further order is sent
         assert len(worker.orders) == 1
         running.cancel()
         await session.close()
         await worker.stop()
 
-    play(story)
+    run_scenario(scenario)
 
 
-def test_an_order_for_an_adapter_names_it() -> None:
+def test_an_order_for_an_adapter_carries_its_name() -> None:
     order = Order("i-1", "w:80", Operation.LOAD, "m1", "a3", 4)
     assert order_body(order, Lease())["adapter"] == "a3"
 
 
-def test_a_report_is_read_as_the_protocol_has_it() -> None:
+def test_a_report_is_parsed_as_the_protocol_defines() -> None:
     report = parse_report(
         {"models": [{"name": "m1", "version": 2, "adapters": ["a1"]}], "busy": True, "callSeq": 5}
     )
@@ -246,69 +246,69 @@
         parse_report({"busy": True})
 
 
-def test_edges_lay_an_update_over_heartbeats_until_it_expires() -> None:
-    # Given an owner that publishes what it unloads and loads
+def test_edges_apply_an_update_to_heartbeats_until_it_expires() -> None:
+    # Given an owner that publishes an unload and a load
     notices = PlacementNotices(lambda: None, lambda: 0.0)
     correction = WorkerCorrection("i-1", (HeldModel("m1"),), (ArrivingModel("m2", "", 0.6),))
     notices.publish(SERVICE, 3, (correction,))
     placements = _tables_of(notices).snapshot.placements
     overlay = PlacementOverlay()
     heartbeat = record("w:80", "m1", "m5")
-    # When an edge lays it over the heartbeat
-    (seen,) = overlay.corrected([heartbeat], placements, 10.0)
+    # When an edge applies the update to the heartbeat
+    (corrected,) = overlay.corrected([heartbeat], placements, 10.0)
     (unchanged,) = overlay.corrected([heartbeat], placements, 10.2)
     (later,) = overlay.corrected([replace(heartbeat, call_sequence=9)], placements, 10.5)
-    # Then the worker holds what the owner says, nothing new is told while nothing is, and the wait shrinks
-    assert [model.name for model in seen.models] == ["m1"]
-    assert seen.arriving[0].ready_in_s == 0.6
-    assert unchanged is seen
+    # Then the record has the published models, is unchanged without a change, and the waiting time decreases
+    assert [model.name for model in corrected.models] == ["m1"]
+    assert corrected.arriving[0].ready_in_s == 0.6
+    assert unchanged is corrected
     assert later.arriving[0].ready_in_s == pytest.approx(0.1)
-    # And an update that is not renewed gives way to the heartbeat
+    # And an update that is not renewed expires
     assert overlay.has_expired(10.0 + UPDATE_VALID_S)
     assert overlay.corrected([heartbeat], placements, 10.0 + UPDATE_VALID_S) == (heartbeat,)
 
 
 def _tables_of(notices: PlacementNotices, tables: FleetTables | None = None) -> FleetTables:
-    """An edge's tables after a pull of what it lacks."""
+    """Returns the tables of an edge after a pull."""
     tables = tables or FleetTables()
     tables.take(PullResponse(True, None, notices.vector(), notices.missing(tables.vector)))
     return tables
 
 
-def _corrections_at(tables: FleetTables) -> dict[str, WorkerCorrection]:
+def _corrections_in(tables: FleetTables) -> dict[str, WorkerCorrection]:
     return tables.snapshot.placements[SERVICE].corrections
 
 
-def test_only_what_changed_is_told_again() -> None:
-    # Given an edge that knows the corrections of two workers
+def test_only_changed_corrections_are_published_again() -> None:
+    # Given an edge that has the corrections of two workers
     now_s = 0.0
     notices = PlacementNotices(lambda: None, lambda: now_s)
     one = WorkerCorrection("i-1", (HeldModel("m1"),))
     two = WorkerCorrection("i-2", (HeldModel("m2"),), (ArrivingModel("m3", "", 2.0),))
     notices.publish(SERVICE, 3, (one, two))
     tables = _tables_of(notices)
-    # When one of them changes, and what arrives at the other comes nearer as expected
+    # When one of them changes, and the load at the other proceeds as expected
     now_s = 1.0
     changed = WorkerCorrection("i-1", (HeldModel("m5"),))
     nearer = replace(two, arriving=(ArrivingModel("m3", "", 1.0),))
     notices.publish(SERVICE, 3, (changed, nearer))
-    # Then only the first is told, and the edge has both
+    # Then only the first is published, and the edge has both
     (update,) = notices.missing(tables.vector)
     assert update.corrections == (changed,)
     _tables_of(notices, tables)
-    assert _corrections_at(tables) == {"i-1": changed, "i-2": two}
-    # And a load that takes longer than was told is told again
+    assert _corrections_in(tables) == {"i-1": changed, "i-2": two}
+    # And a load that takes longer than published is published again
     slower = replace(two, arriving=(ArrivingModel("m3", "", 1.5),))
     notices.publish(SERVICE, 3, (changed, slower))
     _tables_of(notices, tables)
-    assert _corrections_at(tables)["i-2"] == slower
-    # And a correction that is withdrawn goes
+    assert _corrections_in(tables)["i-2"] == slower
+    # And a withdrawn correction is removed
     notices.publish(SERVICE, 3, (slower,))
     _tables_of(notices, tables)
-    assert _corrections_at(tables) == {"i-2": slower}
+    assert _corrections_in(tables) == {"i-2": slower}
 
 
-def test_a_renewal_tells_nothing_but_that_it_holds() -> None:
+def test_a_renewal_carries_no_corrections_and_extends_the_validity() -> None:
     notices = PlacementNotices(lambda: None, lambda: 0.0)
     correction = WorkerCorrection("i-1", (HeldModel("m1"),))
     notices.publish(SERVICE, 3, (correction,))
@@ -325,45 +325,45 @@
     assert not overlay.has_expired(12.0 + UPDATE_VALID_S - 0.1)
 
 
-def test_a_restarted_owner_is_heard_at_once_under_its_old_token() -> None:
+def test_updates_of_a_restarted_owner_apply_at_once_under_its_old_token() -> None:
     # Given an edge that has many updates of an owner
     first = PlacementNotices(lambda: None, lambda: 0.0)
     for number in range(100):
         first.publish(SERVICE, 3, (WorkerCorrection("i-1", (HeldModel(f"m{number}"),)),))
     tables = _tables_of(first)
-    # When its process starts anew, still under the same token, and publishes
+    # When its process restarts under the same token and publishes
     second = PlacementNotices(lambda: None, lambda: 0.0)
     correction = WorkerCorrection("i-2", (HeldModel("m2"),))
     second.publish(SERVICE, 3, (correction,))
     _tables_of(second, tables)
-    # Then only what the new process told stands, also after its next updates
-    assert _corrections_at(tables) == {"i-2": correction}
+    # Then only the corrections of the new process apply, also after its next updates
+    assert _corrections_in(tables) == {"i-2": correction}
     later = WorkerCorrection("i-3", (HeldModel("m3"),))
     second.publish(SERVICE, 3, (correction, later))
     _tables_of(second, tables)
-    assert _corrections_at(tables) == {"i-2": correction, "i-3": later}
-    # And an owner of a lower token changes nothing
+    assert _corrections_in(tables) == {"i-2": correction, "i-3": later}
+    # And an update with a lower token has no effect
     old = PlacementNotices(lambda: None, lambda: 0.0)
     old.publish(SERVICE, 2, ())
     _tables_of(old, tables)
-    assert _corrections_at(tables) == {"i-2": correction, "i-3": later}
+    assert _corrections_in(tables) == {"i-2": correction, "i-3": later}
 
 
-def test_a_later_owner_replaces_all_that_the_earlier_one_told() -> None:
+def test_a_later_owner_replaces_all_corrections_of_the_earlier_one() -> None:
     # Given an edge that has corrections of an owner
     first = PlacementNotices(lambda: None, lambda: 0.0)
     first.publish(SERVICE, 3, (WorkerCorrection("i-1", (HeldModel("m1"),)),))
     tables = _tables_of(first)
-    # When another owner, who knows nothing of them, publishes its first
+    # When another owner, which does not have them, publishes for the first time
     second = PlacementNotices(lambda: None, lambda: 0.0)
     correction = WorkerCorrection("i-2", (HeldModel("m2"),))
     second.publish(SERVICE, 4, (correction,))
     _tables_of(second, tables)
-    # Then only its own stand
-    assert _corrections_at(tables) == {"i-2": correction}
+    # Then only its own corrections apply
+    assert _corrections_in(tables) == {"i-2": correction}
 
 
-def test_an_edge_takes_a_later_owners_updates_and_no_longer_an_earlier_ones() -> None:
+def test_an_edge_applies_updates_of_a_later_owner_and_ignores_an_earlier_one() -> None:
     # Given an owner that has published often, and a later one
     first = PlacementNotices(lambda: None, lambda: 0.0)
     second = PlacementNotices(lambda: None, lambda: 0.0)
@@ -372,43 +372,43 @@
     second.publish(SERVICE, 4, ())
     # Then an edge that has the first one's newest update lacks the second one's
     assert second.missing(first.vector())
-    # And one that has the second one's does not go back
+    # And one that has the second one's ignores the first one's
     tables = _tables_of(second)
     _tables_of(first, tables)
     assert tables.snapshot.placements[SERVICE].token == 4
-    assert _corrections_at(tables) == {}
+    assert _corrections_in(tables) == {}
 
 
-@pytest.mark.parametrize(("step_s", "rest_s"), [(0.01, 0.03), (1.0, 0.05)])
-def test_steps_that_take_long_leave_time_to_others(step_s: float, rest_s: float) -> None:
-    async def story() -> None:
-        # Given steps on a clock that only they move, and demand that always wakes them
-        passed_s, steps = 0.0, 0
-        rests: list[float] = []
+@pytest.mark.parametrize(("step_s", "expected_pause_s"), [(0.01, 0.03), (1.0, 0.05)])
+def test_long_steps_are_followed_by_a_pause(step_s: float, expected_pause_s: float) -> None:
+    async def scenario() -> None:
+        # Given a clock that only steps advance, and an executor that is woken all the time
+        now_s, steps = 0.0, 0
+        pauses: list[float] = []
         session = order_session()
         ports = Ports(record(), catalogue())
-        executor = PlacementExecutor(SERVICE, Lease(), ports, Bounds(), session, lambda: passed_s)
+        executor = PlacementExecutor(SERVICE, Lease(), ports, Bounds(), session, lambda: now_s)
 
         def step() -> None:
-            nonlocal passed_s, steps
-            passed_s += step_s
+            nonlocal now_s, steps
+            now_s += step_s
             steps += 1
             executor.wake()
 
-        async def rest(pause_s: float) -> None:
-            rests.append(pause_s)
+        async def record_pause(pause_s: float) -> None:
+            pauses.append(pause_s)
             if steps >= 20:
                 raise asyncio.CancelledError
 
         # When it runs
         with (
             patch.object(executor, "_step", step),
-            patch.object(asyncio, "sleep", rest),
+            patch.object(asyncio, "sleep", record_pause),
             contextlib.suppress(asyncio.CancelledError),
         ):
             await executor.run()
-        # Then each step is followed by a rest of three times its length, within a bound
-        assert rests == [pytest.approx(rest_s)] * 20
+        # Then each step is followed by a pause of three times its length, up to the limit
+        assert pauses == [pytest.approx(expected_pause_s)] * 20
         await session.close()
 
-    play(story)
+    run_scenario(scenario)
