--- a/arrowfold/controlplane/changes.py
+++ b/arrowfold/controlplane/changes.py
@@ -146,9 +146,7 @@
 
 
 def _too_large(size_bytes: int) -> ConfigurationFault:
-    text = (
-        f"{size_bytes} bytes of canonical JSON as stored or sent to edges; {MAX_DOCUMENT_BYTES} are allowed"
-    )
+    text = f"{size_bytes} bytes of canonical JSON as stored or sent to edges; {MAX_DOCUMENT_BYTES} allowed"
     return ConfigurationFault(ResultCode.CONFIGURATION_TOO_LARGE, "", text)
 
 
--- a/arrowfold/controlplane/duty_pace.py
+++ b/arrowfold/controlplane/duty_pace.py
@@ -7,7 +7,7 @@
 MIN_CALLS_PER_S = 0.05  # a platform that states no rate is still called, every 20 s
 
 
-class DutyPace:
+class CallRateLimiter:
     """Rate limiter for the calls of one node; a call delays the next by the inverse of the rate."""
 
     def __init__(self, calls_per_s: float) -> None:
@@ -15,7 +15,7 @@
         self.calls_per_s = calls_per_s
         self._next_call_s = -math.inf
 
-    def take(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Returns whether a call may be made now; if so, delays the next one."""
         if now_s < self._next_call_s:
             return False
--- a/arrowfold/controlplane/node.py
+++ b/arrowfold/controlplane/node.py
@@ -64,15 +64,9 @@
 from arrowfold.storage.worker import ThreadDiskWorker
 
 SWEEP_INTERVAL_S = 0.5
-STORAGE_RETRY_INTERVAL_S = (
-    0.3  # between attempts to open the storage at startup while the disk refuses writes
-)
-CALL_DRAIN_GRACE_SHARE = (
-    0.15  # of the grace period, for calls in progress after the member has left the group
-)
-EDGE_PRESENCE_TIMEOUT_S = (
-    7.0  # an edge sends a pull at least every 5 s; one that is silent for longer is ignored
-)
+STORAGE_RETRY_INTERVAL_S = 0.3  # between attempts to open the storage while the disk refuses writes
+CALL_DRAIN_GRACE_SHARE = 0.15  # of the grace period, for calls in progress after leaving the group
+EDGE_PRESENCE_TIMEOUT_S = 7.0  # edges pull every 5 s or more often; usage reports don't wait beyond this
 LEAVE_GRACE_SHARE = 0.75  # of the grace period, for the group to release a stopping member
 
 
--- a/arrowfold/controlplane/placement_executor.py
+++ b/arrowfold/controlplane/placement_executor.py
@@ -36,7 +36,9 @@
 
 CONNECT_TIMEOUT_S = 0.5
 ANSWER_TIMEOUT_S = ANSWER_JITTER_S
-ARRIVAL_S = 0.15  # remaining lease time required to send an order, so that it arrives under the lease
+MIN_LEASE_REMAINING_S = (
+    0.15  # remaining lease time required to send an order, so that it arrives under the lease
+)
 UNLOAD_NOTICE_S = 0.02  # edges are notified of an unload this long before the worker gets the order
 IDLE_CONNECTION_TIMEOUT_S = 2.0  # long enough to reuse the connection for the next order of a chain
 CORRECTION_RENEWAL_INTERVAL_S = 1.0  # edges drop corrections that are not renewed for some seconds
@@ -159,7 +161,7 @@
             self._placer = ServicePlacer(catalogue, ceiling, self._options)
         self._placer.apply_catalogue(catalogue)
         self._placer.apply_workers(self._ports.workers(), now_s)
-        can_order = self._lease.remaining_s() >= ARRIVAL_S
+        can_order = self._lease.remaining_s() >= MIN_LEASE_REMAINING_S
         actions = self._placer.actions(now_s, can_order)
         self._publish(self._placer.corrections(now_s))
         for action in actions:
@@ -214,7 +216,7 @@
     async def _send_order(self, order: Order) -> OrderAnswer:
         if order.operation is Operation.UNLOAD:
             await asyncio.sleep(UNLOAD_NOTICE_S)
-        if self._lease.remaining_s() < ARRIVAL_S:
+        if self._lease.remaining_s() < MIN_LEASE_REMAINING_S:
             return OrderAnswer.UNSENT
         try:
             async with self._session.post(
--- a/arrowfold/controlplane/scaling_service.py
+++ b/arrowfold/controlplane/scaling_service.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from arrowfold.configuration.json_text import read_object
-from arrowfold.controlplane.duty_pace import DutyPace
+from arrowfold.controlplane.duty_pace import CallRateLimiter
 from arrowfold.controlplane.platform_client import DutyPlatform
 from arrowfold.controlplane.role_names import scaling_role
 from arrowfold.controlplane.scaling_subject import ScalingPorts, ScalingTenure, ServiceZone
@@ -67,8 +67,8 @@
         self._clock = clock
         self._options = options
         self._duty_rate_s = duty_rate_s
-        self._pace = DutyPace(PLATFORM_RATE_SHARE * duty_rate_s)
-        self._ports = ScalingPorts(platform, self._pace, holder, clock, log)
+        self._rate_limiter = CallRateLimiter(PLATFORM_RATE_SHARE * duty_rate_s)
+        self._ports = ScalingPorts(platform, self._rate_limiter, holder, clock, log)
         self._services: Mapping[str, _ScaledService] = {}
         self._services_sequence = -1
         self._loads: dict[str, ServiceLoad] = {}
@@ -132,7 +132,7 @@
         self._services = _scaled_services(state.configuration)
         self._loads = {name: self._loads.get(name) or self._new_load(name) for name in self._services}
         # One node holds all zones of a service, so there are at most as many calling nodes as services.
-        self._pace.calls_per_s = PLATFORM_RATE_SHARE * self._duty_rate_s / max(1, len(self._services))
+        self._rate_limiter.calls_per_s = PLATFORM_RATE_SHARE * self._duty_rate_s / max(1, len(self._services))
 
     def _new_load(self, service: str) -> ServiceLoad:
         return ServiceLoad(service, self._options.models_kept_s)
--- a/arrowfold/controlplane/scaling_subject.py
+++ b/arrowfold/controlplane/scaling_subject.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from arrowfold.controlplane.duty_pace import DutyPace
+from arrowfold.controlplane.duty_pace import CallRateLimiter
 from arrowfold.controlplane.placement_executor import RoleLease
 from arrowfold.controlplane.platform_client import DutyAnswer, DutyCall, DutyPlatform
 from arrowfold.node.logs import RateLimitedLog
@@ -34,7 +34,7 @@
     """Dependencies that all tenures share. `holder`: name of this node."""
 
     platform: DutyPlatform
-    pace: DutyPace
+    rate_limiter: CallRateLimiter
     holder: str
     clock: Callable[[], float]
     log: RateLimitedLog
@@ -72,7 +72,7 @@
             wanted = WantedCount(self._scaler.count(situation.bounds), Reason.REPEAT)
         if wanted is None or not self._can_call(situation.now_s):
             return
-        if self._ports.pace.take(situation.now_s):
+        if self._ports.rate_limiter.try_acquire(situation.now_s):
             self._call = asyncio.get_running_loop().create_task(self._order(wanted))
 
     def close(self) -> None:
--- a/arrowfold/registry/workers.py
+++ b/arrowfold/registry/workers.py
@@ -59,7 +59,7 @@
         self._last_sweep_s: float | None = None
 
     def vector(self) -> dict[str, int]:
-        """Returns for each origin the number of its latest record that this node holds or knows superseded."""
+        """Returns for each origin the number of its latest record that this node holds or has superseded."""
         return dict(self._vector)
 
     def records(self) -> dict[str, WorkerRecord]:
@@ -131,9 +131,9 @@
     def sweep(self, is_live: Callable[[str], bool]) -> bool:
         """Marks workers whose heartbeats timed out and returns whether there were any.
 
-        To be called about once a second.
-        This node is responsible for the workers whose current record is its own, and for those whose origin
-        is not live. After a pause of this process (a freeze) the timeout of every worker starts again.
+        To be called about once a second. This node is responsible for the workers whose current record is
+        its own, and for those whose origin is not live. After a pause of this process (a freeze) the timeout
+        of every worker starts again.
         """
         now_s = self._clock()
         was_paused = (
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -395,10 +395,14 @@
     *_guards(
         Area.CONTROL_PLANE,
         "controlplane/placement_executor.py",
-        ("an order is sent only under authority", "if self._lease.remaining_s() < ARRIVAL_S:", "if False:"),
+        (
+            "an order is sent only under authority",
+            "if self._lease.remaining_s() < MIN_LEASE_REMAINING_S:",
+            "if False:",
+        ),
         (
             "orders are planned only under authority",
-            "can_order = self._lease.remaining_s() >= ARRIVAL_S",
+            "can_order = self._lease.remaining_s() >= MIN_LEASE_REMAINING_S",
             "can_order = True",
         ),
         ("the work ends with the tenure", "while self._lease.is_tenured() and not", "while not"),
--- a/tests/system/platform_judge.py
+++ b/tests/system/platform_judge.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's API that judges the calls it gets, in memory and over loopback HTTP."""
+"""Stand-in for the platform API that checks the calls it receives, in memory and over loopback HTTP."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from arrowfold.controlplane.platform_client import DutyAnswer, DutyCall
 from tests.system.control_simulation.network import NETWORK
 
-WAY_S = 0.002  # of a call, one way
+ONE_WAY_LATENCY_S = 0.002
 ACCEPTED, FENCED, BUSY = 200, 409, 429
-_ANSWERS = {ACCEPTED: DutyAnswer.ACCEPTED, FENCED: DutyAnswer.FENCED, BUSY: DutyAnswer.BUSY}
+_ANSWER_BY_STATUS = {ACCEPTED: DutyAnswer.ACCEPTED, FENCED: DutyAnswer.FENCED, BUSY: DutyAnswer.BUSY}
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A call as it came, and the status that it got."""
+    """A received call and the status of its response."""
 
     at_s: float
     call: DutyCall
@@ -27,16 +27,16 @@
 
     @property
     def window(self) -> int:
-        """The window that a report of usage is about."""
+        """Window number of a usage report."""
         return int(json.loads(self.call.body)["windowNumber"])
 
 
 @dataclass(slots=True)
-class PlatformJudge:
-    """The platform's side: fences, its rate, and every rule that a call breaks, in `violations`."""
+class PlatformChecker:
+    """Platform state: highest fencing tokens, call rate, and in `violations` each rule that a call broke."""
 
     lease_s: float = 3.0
-    rate: float = 50.0  # calls that it takes a second, of all nodes
+    rate: float = 50.0  # accepted calls per second, over all nodes
     fencing_checked: bool = True
     arrivals: list[Arrival] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
@@ -44,18 +44,18 @@
     refused: int = 0  # calls over the rate
     _highest: dict[str, int] = field(default_factory=dict)
     _holders: dict[tuple[str, int], str] = field(default_factory=dict)
-    _turns: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
+    _recent_holders: dict[str, list[tuple[float, str]]] = field(default_factory=dict)
     _recent: deque[float] = field(default_factory=deque)
-    _unheeded: dict[tuple[str, int], int] = field(default_factory=dict)
+    _fenced_calls: dict[tuple[str, int], int] = field(default_factory=dict)
 
-    def take(self, call: DutyCall, now_s: float) -> int:
-        """Judge a call; the status that it gets."""
+    def receive(self, call: DutyCall, now_s: float) -> int:
+        """Checks a call and returns the response status."""
         status = self._status(call, now_s)
         self.arrivals.append(Arrival(now_s, call, status))
         return status
 
     def windows(self) -> list[int]:
-        """The windows that were accepted, in the order of their first acceptance."""
+        """Returns the accepted windows in the order of their first acceptance."""
         return list(self.reports)
 
     def _status(self, call: DutyCall, now_s: float) -> int:
@@ -66,20 +66,20 @@
             self.refused += 1
             return BUSY
         if call.token < self._highest.get(subject, 0):
-            return self._refuse_fence(call, subject, now_s)
+            return self._refuse_low_token(call, subject, now_s)
         self._highest[subject] = call.token
-        self._judge_turns(call, subject, now_s)
+        self._check_holder_order(call, subject, now_s)
         if call.path == "/usage":
-            self._judge_report(call)
+            self._check_report(call)
         return ACCEPTED
 
-    def _refuse_fence(self, call: DutyCall, subject: str, now_s: float) -> int:
+    def _refuse_low_token(self, call: DutyCall, subject: str, now_s: float) -> int:
         if not self.fencing_checked:
             self.violations.append(f"token {call.token} came after {self._highest[subject]}")
             return ACCEPTED
         key = (call.holder, call.token)
-        self._unheeded[key] = self._unheeded.get(key, 0) + 1
-        if self._unheeded[key] > 1:
+        self._fenced_calls[key] = self._fenced_calls.get(key, 0) + 1
+        if self._fenced_calls[key] > 1:
             self.violations.append(f"{call.holder} called again under token {call.token}, refused before")
         return FENCED
 
@@ -91,16 +91,16 @@
         self._recent.append(now_s)
         return False
 
-    def _judge_turns(self, call: DutyCall, subject: str, now_s: float) -> None:
-        """A, B, A within the lease."""
-        turns = self._turns.setdefault(subject, [])
-        turns[:] = [turn for turn in turns if now_s - turn[0] <= self.lease_s]
-        holders = [holder for _, holder in turns]
+    def _check_holder_order(self, call: DutyCall, subject: str, now_s: float) -> None:
+        """Detects holders that act in the order A, B, A within one lease duration."""
+        recent = self._recent_holders.setdefault(subject, [])
+        recent[:] = [entry for entry in recent if now_s - entry[0] <= self.lease_s]
+        holders = [holder for _, holder in recent]
         if call.holder in holders and holders[-1] != call.holder:
             self.violations.append(f"{call.holder} acted, then {holders[-1]}, then {call.holder}")
-        turns.append((now_s, call.holder))
+        recent.append((now_s, call.holder))
 
-    def _judge_report(self, call: DutyCall) -> None:
+    def _check_report(self, call: DutyCall) -> None:
         window = int(json.loads(call.body)["windowNumber"])
         accepted = self.reports.get(window)
         if accepted is None:
@@ -111,26 +111,26 @@
             self.violations.append(f"window {window} was reported twice, with other counts")
 
 
-class PlatformInMemory:
-    """The platform as machines of the simulation reach it; it may be down, slow, or lose answers."""
+class SimulatedPlatform:
+    """The platform in the simulated network; it can be down, be slow, or lose answers."""
 
-    def __init__(self, judge: PlatformJudge) -> None:
-        self.judge = judge
+    def __init__(self, checker: PlatformChecker) -> None:
+        self.checker = checker
         self.down = False
         self.slow_s = 0.0
-        self.lost_answers = 0  # how many of the next answers are lost
+        self.lost_answers = 0  # number of the next answers that are lost
         self.answer_timeout_s = 3.0
-        self.under_way = 0
-        self.on_taken = lambda: None  # called after a call was taken, before its answer is on its way
+        self.in_progress = 0
+        self.on_received = lambda: None  # called after a call was processed, before its answer is sent
 
     async def send(self, call: DutyCall) -> DutyAnswer:
-        """As `PlatformClient`."""
+        """Sends a call like `PlatformClient`."""
         loop = asyncio.get_running_loop()
         if self.down:
-            await asyncio.sleep(WAY_S)
+            await asyncio.sleep(ONE_WAY_LATENCY_S)
             return DutyAnswer.UNSENT
         answered: asyncio.Future[DutyAnswer] = loop.create_future()
-        loop.call_later(WAY_S + self.slow_s, self._arrive, call, answered, context=NETWORK)
+        loop.call_later(ONE_WAY_LATENCY_S + self.slow_s, self._arrive, call, answered, context=NETWORK)
         try:
             async with asyncio.timeout(self.answer_timeout_s):
                 return await answered
@@ -139,39 +139,41 @@
 
     def _arrive(self, call: DutyCall, answered: asyncio.Future[DutyAnswer]) -> None:
         loop = asyncio.get_running_loop()
-        status = self.judge.take(call, loop.time())
-        self.on_taken()
+        status = self.checker.receive(call, loop.time())
+        self.on_received()
         if self.lost_answers > 0:
             self.lost_answers -= 1
             return
-        loop.call_later(WAY_S, _give, answered, _ANSWERS[status], context=NETWORK)
+        loop.call_later(
+            ONE_WAY_LATENCY_S, _deliver_answer, answered, _ANSWER_BY_STATUS[status], context=NETWORK
+        )
 
 
-def judge_application(judge: PlatformJudge) -> web.Application:
-    """The judge over HTTP, as the platform's API."""
+def platform_application(checker: PlatformChecker) -> web.Application:
+    """Builds the HTTP application that answers with the statuses of the checker."""
 
-    async def take(request: web.Request) -> web.Response:
+    async def receive(request: web.Request) -> web.Response:
         call = DutyCall(
             request.path,
             await request.read(),
             request.headers["X-Duty-Holder"],
             int(request.headers["X-Fence-Token"]),
         )
-        return web.Response(status=judge.take(call, asyncio.get_running_loop().time()))
+        return web.Response(status=checker.receive(call, asyncio.get_running_loop().time()))
 
     application = web.Application()
-    application.router.add_post("/usage", take)
-    application.router.add_post("/scaling", take)
+    application.router.add_post("/usage", receive)
+    application.router.add_post("/scaling", receive)
     return application
 
 
-def _give(answered: asyncio.Future[DutyAnswer], answer: DutyAnswer) -> None:
+def _deliver_answer(answered: asyncio.Future[DutyAnswer], answer: DutyAnswer) -> None:
     if not answered.done():
         answered.set_result(answer)
 
 
 def _subject(call: DutyCall) -> str:
-    """All windows are one subject; of orders of workers, each service in a zone is one."""
+    """Returns the fenced subject: one for all usage windows, and one for each service and zone scaled."""
     if call.path == "/usage":
         return call.path
     value = json.loads(call.body)
--- a/tests/system/test_control_changes.py
+++ b/tests/system/test_control_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration as log entries: patches lead every member to the same bytes."""
+"""Configuration changes as log entries: patches yield the same bytes on every member."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from tests.system.control_simulation.history import document
 
 
-def _many(version: int, names: list[str]) -> ConfigurationDocument:
+def _document_with_routes(version: int, names: list[str]) -> ConfigurationDocument:
     value = json.loads(document(version, "first"))
     base = value["routes"][0]
     value["routes"] += [{**base, "name": name, "pathPrefix": f"/{name}/"} for name in names]
@@ -49,11 +49,11 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(_names, min_size=1, max_size=6))
-def test_given_any_changes_then_entries_lead_to_the_document_itself(lists: list[list[str]]) -> None:
+def test_given_any_changes_then_entries_yield_the_document_itself(lists: list[list[str]]) -> None:
     state = ControlState()
     current: ConfigurationDocument | None = None
     for version, names in enumerate(lists, start=1):
-        new = _many(version, names)
+        new = _document_with_routes(version, names)
         entry = _log_entry(state.configuration, current, new, str(version).encode())
         state = apply_entry(state, decode(encode(entry)))
         assert state.configuration == new.to_json()
@@ -63,15 +63,15 @@
 
 def test_given_a_small_change_of_a_large_document_then_the_entry_is_a_patch() -> None:
     names = [f"r{number}" for number in range(300)]
-    first, second = _many(1, names), _many(2, names[1:])
+    first, second = _document_with_routes(1, names), _document_with_routes(2, names[1:])
     entry = _log_entry(first.to_json(), first, second, b"d")
     assert entry.document is None
     assert len(encode(entry)) < len(second.to_json()) / 20
 
 
-def test_given_a_puller_that_holds_the_base_then_it_gets_steps_else_the_whole() -> None:
+def test_given_a_puller_that_holds_the_base_then_it_gets_deltas_else_the_document() -> None:
     names = [f"r{number}" for number in range(50)]
-    documents = [_many(version, names[version:]) for version in range(1, 5)]
+    documents = [_document_with_routes(version, names[version:]) for version in range(1, 5)]
     state = ControlState()
     current: ConfigurationDocument | None = None
     for new in documents:
@@ -91,20 +91,21 @@
 
 class _NoLog:
     def info(self, event: str, **fields: object) -> None:
-        """Nothing is logged."""
+        """Discards the event."""
 
     warning = info
 
 
 def _decide(state: ControlState, change: SubmitChange) -> Proposal[SubmitResult]:
-    """What a primary decides on this state."""
+    """Returns the decision of a primary on this state."""
     service = ConfigurationService(None, None, _NoLog())  # type: ignore[arg-type]
     digest = change_digest(change.kind, change.if_match, change.body)
     return service._decide(state, change, digest)
 
 
-# Guards against an operator shut out by a configuration that was valid by the rules of an earlier release.
-def test_given_a_committed_configuration_that_would_be_refused_today_then_the_next_change_is_taken() -> None:
+# Guards against refusing every change because the committed configuration, which was valid in an earlier
+# release, is invalid now.
+def test_given_a_committed_configuration_that_is_invalid_today_then_the_next_change_is_accepted() -> None:
     value = json.loads(document(7, "old"))
     value["tenants"] = [{"name": "a", "apiKeys": ["k"]}, {"name": "b", "apiKeys": ["k"]}]
     committed = ControlState(1, write_canonical(value), 7, 1)
@@ -124,19 +125,19 @@
     return json.dumps(value).encode()
 
 
-def test_given_a_document_beyond_the_limit_then_it_is_refused_for_good_and_nothing_is_stored() -> None:
+def test_given_a_document_beyond_the_limit_then_it_is_refused_and_not_stored() -> None:
     change = SubmitChange("PUT", "0", _long_document(1, MAX_DOCUMENT_BYTES))
     proposal = _decide(ControlState(), change)
     assert proposal.answer.status == 413
     assert json.loads(proposal.answer.body)["code"] == ResultCode.CONFIGURATION_TOO_LARGE
     assert proposal.entry is None
-    # And one of letters that take more room in the stored text than on the wire
-    wide = _long_document(1, 0).replace(b'"note": ""', '"note": "{}"'.format("é" * 800_000).encode())
-    assert len(wide) < MAX_BODY_BYTES
-    assert _decide(ControlState(), SubmitChange("PUT", "0", wide)).answer.status == 413
+    # And one whose characters take more bytes as stored than as sent
+    multibyte = _long_document(1, 0).replace(b'"note": ""', '"note": "{}"'.format("é" * 800_000).encode())
+    assert len(multibyte) < MAX_BODY_BYTES
+    assert _decide(ControlState(), SubmitChange("PUT", "0", multibyte)).answer.status == 413
 
 
-# Guards against a configuration that is acknowledged and that no frame can bring to an edge.
+# Guards against acknowledging a configuration that fits in no frame to an edge.
 def test_given_short_keys_whose_digests_are_beyond_the_limit_then_it_is_refused() -> None:
     value = json.loads(document(1, "many"))
     value["tenants"] = [{"name": "a", "apiKeys": [f"{number:x}" for number in range(70_000)]}]
@@ -163,19 +164,19 @@
     remembered = range(number - REMEMBERED_CHANGES + 1, number + 1)
     return replace(
         ControlState(),
-        configuration=_many(number, []).to_json(),
+        configuration=_document_with_routes(number, []).to_json(),
         configuration_version=number,
         accepted={version.to_bytes(32, "big"): version for version in remembered},
     )
 
 
-def test_given_more_changes_than_are_remembered_then_an_older_one_sent_again_is_never_refused() -> None:
+def test_given_more_changes_than_are_remembered_then_a_repeated_older_one_is_never_refused() -> None:
     state = _after_many_changes(5000)
-    # When a change comes again whose digest may have been dropped
+    # When a change is repeated whose digest may have been dropped
     old = _decide(state, SubmitChange("PUT", "100", document(101, "old")))
-    # Then the answer is unclear, for it may have been taken
+    # Then the answer leaves the outcome open, since it may have been accepted
     assert old.answer.status == UNAVAILABLE
     assert old.entry is None
-    # But a change that lost against a remembered one is refused
-    lost = _decide(state, SubmitChange("PUT", "4990", document(4991, "lost")))
-    assert lost.answer.status == 412
+    # But a change that conflicts with a remembered one is refused
+    conflicting = _decide(state, SubmitChange("PUT", "4990", document(4991, "lost")))
+    assert conflicting.answer.status == 412
--- a/tests/system/test_control_distribution.py
+++ b/tests/system/test_control_distribution.py
@@ -1,4 +1,4 @@
-"""What is urgent is answered at once; in a large fleet ordinary news waits a little for more."""
+"""Urgent updates are distributed immediately; in a large fleet ordinary ones are delayed and combined."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from tests.system.configurations import configuration, route, tenant, text_of
 from tests.system.virtual_time import run_virtual
 
-EDGES = 100  # so that ordinary news comes at most each 0.2 s
+EDGES = 100  # limits ordinary updates to one answer every 0.2 s
 WORKER = WorkerRecord("i-1", "llm", "w:80", "z0", "v1", 8, "available")
 
 
 class _Replica:
-    """A member whose committed state the story sets."""
+    """A member whose committed state is set by the test."""
 
     def __init__(self) -> None:
         self.committed = ControlState()
@@ -53,7 +53,7 @@
         return ()
 
 
-class _Stage:
+class _DistributorFixture:
     """A distributor with many edges, one of which pulls."""
 
     def __init__(self, edges: int = EDGES) -> None:
@@ -66,16 +66,16 @@
         notices = PlacementNotices(lambda: None, clock)
         self.distributor = Distributor(self.replica, self.registry, presence, lambda: (), notices)
         self.vector: dict[str, int] = {}
-        self._beats = 0
+        self._heartbeats = 0
 
-    def tell_ordinary(self) -> None:
-        """A worker says something new."""
-        self._beats += 1
-        self.registry.heard(replace(WORKER, capacity_slots=self._beats, call_sequence=self._beats))
+    def make_ordinary_update(self) -> None:
+        """Changes a worker record."""
+        self._heartbeats += 1
+        self.registry.heard(replace(WORKER, capacity_slots=self._heartbeats, call_sequence=self._heartbeats))
         self.distributor.wake()
 
-    async def notice(self) -> PullResponse:
-        """Wait for a notice, which brings no updates."""
+    async def pull_notice(self) -> PullResponse:
+        """Pulls a notice, which holds no updates."""
         return await self.pull(wait_s=2.0, notice_only=True)
 
     async def pull(self, wait_s: float = 1.0, known_view: int = 0, notice_only: bool = False) -> PullResponse:
@@ -87,122 +87,122 @@
         return answer
 
 
-async def _many_changes() -> None:
-    # Given an edge that has just been answered
-    stage = _Stage()
-    stage.tell_ordinary()
-    await stage.pull()
-    answered_s = stage.clock()
+async def _frequent_changes() -> None:
+    # Given an edge that has just received an answer
+    fixture = _DistributorFixture()
+    fixture.make_ordinary_update()
+    await fixture.pull()
+    answered_s = fixture.clock()
     # When a worker changes often
-    pull = asyncio.create_task(stage.pull())
+    pull = asyncio.create_task(fixture.pull())
     for _ in range(10):
         await asyncio.sleep(0.01)
-        stage.tell_ordinary()
+        fixture.make_ordinary_update()
     answer = await pull
-    # Then one answer brings all of it, a spacing after the one before
-    assert 0.19 < stage.clock() - answered_s < 0.21
+    # Then one answer holds all changes, one spacing after the previous answer
+    assert 0.19 < fixture.clock() - answered_s < 0.21
     assert [update.counter for update in answer.updates if hasattr(update, "record")] == [11]
 
 
 def test_given_many_edges_then_ordinary_changes_share_an_answer() -> None:
-    run_virtual(_many_changes())
+    run_virtual(_frequent_changes())
 
 
 async def _urgent_behind_ordinary() -> None:
-    # Given ordinary news that waits for more
-    stage = _Stage()
-    stage.tell_ordinary()
-    await stage.pull()
-    answered_s = stage.clock()
-    pull = asyncio.create_task(stage.pull())
+    # Given a delayed ordinary update
+    fixture = _DistributorFixture()
+    fixture.make_ordinary_update()
+    await fixture.pull()
+    answered_s = fixture.clock()
+    pull = asyncio.create_task(fixture.pull())
     await asyncio.sleep(0.01)
-    stage.tell_ordinary()
+    fixture.make_ordinary_update()
     await asyncio.sleep(0.01)
     # When something is committed
-    stage.replica.committed = ControlState(sequence=1)
-    stage.distributor.wake_urgently()
+    fixture.replica.committed = ControlState(sequence=1)
+    fixture.distributor.wake_urgently()
     answer = await pull
-    # Then it is told at once, with the rest
-    assert stage.clock() - answered_s < 0.03
+    # Then it is distributed immediately, together with the delayed update
+    assert fixture.clock() - answered_s < 0.03
     assert answer.vector[STATE_ORIGIN] == 1
     assert answer.updates
 
 
-def test_given_waiting_news_then_a_commit_is_told_at_once() -> None:
+def test_given_a_delayed_update_then_a_commit_is_distributed_immediately() -> None:
     run_virtual(_urgent_behind_ordinary())
 
 
 async def _notices() -> None:
-    # Given an edge that gets its updates elsewhere and was just told that there is ordinary news
-    stage = _Stage()
-    stage.tell_ordinary()
-    await stage.notice()
-    told_s = stage.clock()
-    # When there is more, then it hears of that a spacing of notices later
-    stage.tell_ordinary()
-    await stage.notice()
-    assert 0.95 < stage.clock() - told_s < 1.05
-    # But of what is committed at once
-    told_s = stage.clock()
-    pull = asyncio.create_task(stage.notice())
+    # Given an edge that gets its updates elsewhere and has just received a notice of an ordinary update
+    fixture = _DistributorFixture()
+    fixture.make_ordinary_update()
+    await fixture.pull_notice()
+    answered_s = fixture.clock()
+    # When there is another update, then its notice arrives one notice spacing later
+    fixture.make_ordinary_update()
+    await fixture.pull_notice()
+    assert 0.95 < fixture.clock() - answered_s < 1.05
+    # But the notice of a commit arrives immediately
+    answered_s = fixture.clock()
+    pull = asyncio.create_task(fixture.pull_notice())
     await asyncio.sleep(0.01)
-    stage.replica.committed = ControlState(sequence=1)
-    stage.distributor.wake_urgently()
+    fixture.replica.committed = ControlState(sequence=1)
+    fixture.distributor.wake_urgently()
     answer = await pull
-    assert stage.clock() - told_s < 0.03
+    assert fixture.clock() - answered_s < 0.03
     assert answer.vector[STATE_ORIGIN] == 1
     assert not answer.updates
 
 
-def test_given_many_edges_then_notices_of_ordinary_news_are_few_and_urgent_ones_come_at_once() -> None:
+def test_given_many_edges_then_ordinary_notices_are_delayed_and_urgent_ones_are_immediate() -> None:
     run_virtual(_notices())
 
 
 async def _few_edges() -> None:
-    stage = _Stage(edges=3)
-    stage.tell_ordinary()
-    await stage.pull()
-    started_s = stage.clock()
-    stage.tell_ordinary()
-    await stage.pull()
-    assert stage.clock() - started_s < 0.01
+    fixture = _DistributorFixture(edges=3)
+    fixture.make_ordinary_update()
+    await fixture.pull()
+    started_s = fixture.clock()
+    fixture.make_ordinary_update()
+    await fixture.pull()
+    assert fixture.clock() - started_s < 0.01
 
 
-def test_given_few_edges_then_nothing_waits() -> None:
+def test_given_few_edges_then_updates_are_not_delayed() -> None:
     run_virtual(_few_edges())
 
 
 async def _known_view() -> None:
-    stage = _Stage()
-    stage.tell_ordinary()
-    first = await stage.pull()
+    fixture = _DistributorFixture()
+    fixture.make_ordinary_update()
+    first = await fixture.pull()
     assert first.view is not None
-    stage.tell_ordinary()
-    again = await stage.pull(known_view=view_mark(first.view))
+    fixture.make_ordinary_update()
+    again = await fixture.pull(known_view=view_mark(first.view))
     assert again.view is None
-    # And another view is told
-    stage.replica.epoch = 2
-    stage.tell_ordinary()
-    later = await stage.pull(known_view=view_mark(first.view))
+    # And a changed view is included
+    fixture.replica.epoch = 2
+    fixture.make_ordinary_update()
+    later = await fixture.pull(known_view=view_mark(first.view))
     assert later.view is not None
     assert later.view.epoch == 2
 
 
-def test_given_a_puller_that_has_the_view_then_it_is_left_out() -> None:
+def test_given_a_puller_that_has_the_view_then_the_answer_omits_it() -> None:
     run_virtual(_known_view())
 
 
 class _Committed:
-    """States to which configurations were committed one after another."""
+    """A state to which configurations are committed one after another."""
 
     def __init__(self) -> None:
         self.state = ControlState()
 
     def put(self, version: int, *tenants: dict[str, Any]) -> None:
-        """Commit a configuration with these tenants, as a patch where one is remembered."""
-        many = [route(f"r{number}") for number in range(20)]
+        """Commits a configuration with these tenants, as a patch if there is a previous one."""
+        routes = [route(f"r{number}") for number in range(20)]
         new = parse_configuration(
-            text_of(configuration(version, routes=many, tenants=list(tenants)))
+            text_of(configuration(version, routes=routes, tenants=list(tenants)))
         ).unwrap()
         digest = b"%d" % version
         if self.state.configuration is None:
@@ -213,8 +213,8 @@
         self.state = apply_entry(self.state, step)
 
 
-# Guards against keys on the way to edges, and in the traces and memory that lie on that way.
-def test_given_tenants_then_neither_documents_nor_changes_tell_a_key() -> None:
+# Guards against sending API keys to edges, where they could end up in traces or memory.
+def test_given_tenants_then_neither_documents_nor_deltas_hold_a_key() -> None:
     committed = _Committed()
     committed.put(1, tenant("acme", "marked-1"))
     first = configuration_updates(committed.state, 0)
@@ -224,7 +224,7 @@
     assert isinstance(change[0], ConfigurationDelta)
     assert isinstance(whole[0], ConfigurationUpdate)
     assert "marked" not in repr((first, change, whole))
-    # And what is read back is what was sent
+    # And the stored document still holds the keys
     assert committed.state.configuration is not None
     assert json.loads(committed.state.configuration)["tenants"] == [
         tenant("acme", "marked-1"),
@@ -238,7 +238,7 @@
     committed.put(2, tenant("acme", "k1"), tenant("b", "k2"))
     committed.put(3, tenant("b", "k2"))
     answers = [configuration_updates(committed.state, since) for since in (0, 1, 2) for _ in range(50)]
-    # One text for all edges: not made anew, so the same object
+    # The same object for all edges shows that a text is not redacted again
     wholes = {id(updates[0].document) for updates in answers if isinstance(updates[0], ConfigurationUpdate)}
     steps = {
         id(step.patch) for updates in answers for step in updates if isinstance(step, ConfigurationDelta)
--- a/tests/system/test_control_peers.py
+++ b/tests/system/test_control_peers.py
@@ -1,4 +1,4 @@
-"""Stories of pulls between control nodes, in virtual time."""
+"""Pulls between control nodes, in virtual time."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 PEER = MemberInfo("b", "core-b", "10.0.0.2:7660", "10.0.0.2:8146", "east")
 
 
-class _OwnerOfAPlacement:
-    """Owns a placement, and answers a pull at once if the puller seems to lack something."""
+class _PlacementOwner:
+    """Owns a placement; answers a pull immediately if its version vector lacks an update."""
 
     def __init__(self) -> None:
         self.pulls = 0
@@ -49,11 +49,11 @@
         return (PEER,)
 
 
-def test_a_placement_that_is_not_handed_on_does_not_make_pulls_spin() -> None:
-    # Given a control node that owns a placement, whose updates other control nodes don't take
-    owner = _OwnerOfAPlacement()
+def test_a_placement_that_peers_ignore_does_not_make_them_pull_in_a_tight_loop() -> None:
+    # Given a control node that owns a placement, whose updates other control nodes ignore
+    owner = _PlacementOwner()
 
-    async def story() -> None:
+    async def scenario() -> None:
         clock = asyncio.get_running_loop().time
         identity = NodeIdentity("core-a", "a", "east", "10.0.0.1:7660")
         registry = WorkerRegistry("a.1", clock, 1.2)
@@ -65,6 +65,6 @@
         await asyncio.sleep(20.0)
         pulls.close()
 
-    run_virtual(story())
-    # Then each pull but the first is held open for its two seconds
+    run_virtual(scenario())
+    # Then each pull except the first stays open for its two seconds
     assert owner.pulls <= 12
--- a/tests/system/test_platform_client.py
+++ b/tests/system/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The client of the platform's API against the judge, over loopback HTTP."""
+"""The client of the platform API against the checking stand-in, over loopback HTTP."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from aiohttp import web
 
 from arrowfold.controlplane.platform_client import DutyAnswer, DutyCall, PlatformClient
-from tests.system.platform_judge import PlatformJudge, judge_application
+from tests.system.platform_judge import PlatformChecker, platform_application
 
 
-def _report(holder: str, token: int, window: int = 7) -> DutyCall:
+def _usage_call(holder: str, token: int, window: int = 7) -> DutyCall:
     body = b'{"windowNumber":%d,"counts":{"huka":3}}' % window
     return DutyCall("/usage", body, holder, token)
 
 
-async def _answers(judge: PlatformJudge, *calls: DutyCall) -> list[DutyAnswer]:
-    runner = web.AppRunner(judge_application(judge))
+async def _answers(checker: PlatformChecker, *calls: DutyCall) -> list[DutyAnswer]:
+    runner = web.AppRunner(platform_application(checker))
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
     await site.start()
@@ -30,16 +30,16 @@
         await runner.cleanup()
 
 
-def test_given_calls_over_http_then_the_client_tells_what_came_of_each() -> None:
-    judge = PlatformJudge(rate=3)
-    calls = (_report("a", 2), _report("a", 2), _report("b", 1), _report("a", 2, 8))
-    told = asyncio.run(_answers(judge, *calls))
-    assert told == [DutyAnswer.ACCEPTED, DutyAnswer.ACCEPTED, DutyAnswer.FENCED, DutyAnswer.BUSY]
-    assert judge.arrivals[0].call == calls[0]
-    assert judge.violations == []
+def test_given_calls_over_http_then_the_client_returns_the_outcome_of_each() -> None:
+    checker = PlatformChecker(rate=3)
+    calls = (_usage_call("a", 2), _usage_call("a", 2), _usage_call("b", 1), _usage_call("a", 2, 8))
+    outcomes = asyncio.run(_answers(checker, *calls))
+    assert outcomes == [DutyAnswer.ACCEPTED, DutyAnswer.ACCEPTED, DutyAnswer.FENCED, DutyAnswer.BUSY]
+    assert checker.arrivals[0].call == calls[0]
+    assert checker.violations == []
 
 
-def test_given_nobody_at_the_address_then_the_call_counts_as_unsent() -> None:
+def test_given_no_listener_at_the_address_then_the_call_counts_as_unsent() -> None:
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{free.getsockname()[1]}"
@@ -47,25 +47,25 @@
     async def send() -> DutyAnswer:
         client = PlatformClient(address)
         try:
-            return await client.send(_report("a", 1))
+            return await client.send(_usage_call("a", 1))
         finally:
             await client.close()
 
     assert asyncio.run(send()) is DutyAnswer.UNSENT
 
 
-def test_given_broken_rules_then_the_judge_names_each() -> None:
-    # Guards the judge itself: a stand-in that lets everything pass would prove nothing.
+def test_given_broken_rules_then_the_checker_reports_each() -> None:
+    # Tests the stand-in itself, since one that accepts everything would hide violations in other tests.
     other = DutyCall("/usage", b'{"windowNumber":7,"counts":{"huka":4}}', "a", 2)
     broken = {
-        "two holders": [_report("a", 1), _report("b", 1)],
-        "other counts": [_report("a", 2), other],
-        "acted, then": [_report("a", 1), _report("b", 2), _report("a", 3)],
-        "came after": [_report("a", 1, 8), _report("a", 1, 7)],
-        "refused before": [_report("b", 2), _report("a", 1), _report("a", 1)],
+        "two holders": [_usage_call("a", 1), _usage_call("b", 1)],
+        "other counts": [_usage_call("a", 2), other],
+        "acted, then": [_usage_call("a", 1), _usage_call("b", 2), _usage_call("a", 3)],
+        "came after": [_usage_call("a", 1, 8), _usage_call("a", 1, 7)],
+        "refused before": [_usage_call("b", 2), _usage_call("a", 1), _usage_call("a", 1)],
     }
-    for words, calls in broken.items():
-        judge = PlatformJudge()
+    for expected, calls in broken.items():
+        checker = PlatformChecker()
         for call in calls:
-            judge.take(call, 1.0)
-        assert any(words in violation for violation in judge.violations), words
+            checker.receive(call, 1.0)
+        assert any(expected in violation for violation in checker.violations), expected
--- a/tests/system/test_registry_workers.py
+++ b/tests/system/test_registry_workers.py
@@ -1,4 +1,4 @@
-"""Workers known by origin: late calls, moves between control nodes, silence, and convergence."""
+"""Worker registry: late calls, moves between control nodes, heartbeat timeouts, and convergence."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from arrowfold.internal.messages import WorkerRecord
 from arrowfold.registry.workers import AVAILABLE, SILENT, WorkerRegistry
 
-BEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 
 
 class _Clock:
@@ -30,23 +30,26 @@
 
 
 def test_given_ordinary_heartbeats_then_only_the_first_makes_a_record() -> None:
-    registry = WorkerRegistry("a.1", _Clock(), BEAT_S)
+    registry = WorkerRegistry("a.1", _Clock(), HEARTBEAT_INTERVAL_S)
     assert registry.heard(_record("i", 1))
     assert not registry.heard(_record("i", 2))
     assert registry.vector() == {"a.1": 1}
     assert registry.records()["i"].call_sequence == 2
 
 
-def test_given_a_late_call_then_it_changes_nothing() -> None:
-    registry = WorkerRegistry("a.1", _Clock(), BEAT_S)
+def test_given_a_late_call_then_it_has_no_effect() -> None:
+    registry = WorkerRegistry("a.1", _Clock(), HEARTBEAT_INTERVAL_S)
     registry.heard(_record("i", 5, "draining"))
     assert not registry.heard(_record("i", 4))
     assert registry.records()["i"].state == "draining"
 
 
-def test_given_a_worker_that_moves_then_its_new_node_answers_for_it() -> None:
+def test_given_a_worker_that_moves_then_its_new_node_is_responsible_for_it() -> None:
     clock = _Clock()
-    first, second = WorkerRegistry("a.1", clock, BEAT_S), WorkerRegistry("b.1", clock, BEAT_S)
+    first, second = (
+        WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S),
+        WorkerRegistry("b.1", clock, HEARTBEAT_INTERVAL_S),
+    )
     first.heard(_record("i", 1))
     _exchange(second, first)
     assert second.heard(_record("i", 2))
@@ -58,9 +61,9 @@
     assert first.records()["i"].state == AVAILABLE
 
 
-def test_given_a_silent_worker_then_it_is_announced_and_a_newer_beat_undoes_it() -> None:
+def test_given_a_silent_worker_then_it_is_marked_and_a_newer_heartbeat_reverts_it() -> None:
     clock = _Clock()
-    registry = WorkerRegistry("a.1", clock, BEAT_S)
+    registry = WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S)
     registry.heard(_record("i", 1))
     for _ in range(8):
         clock.now += 0.5
@@ -70,9 +73,9 @@
     assert registry.records()["i"].state == AVAILABLE
 
 
-def test_given_a_pause_of_the_own_process_then_nobody_is_called_silent() -> None:
+def test_given_a_pause_of_this_process_then_no_worker_is_marked_silent() -> None:
     clock = _Clock()
-    registry = WorkerRegistry("a.1", clock, BEAT_S)
+    registry = WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S)
     registry.heard(_record("i", 1))
     registry.sweep(lambda origin: True)
     clock.now += 30.0
@@ -82,9 +85,12 @@
     assert registry.records()["i"].state == AVAILABLE
 
 
-def test_given_an_origin_that_is_gone_then_another_node_announces_its_silent_workers() -> None:
+def test_given_an_origin_that_is_not_live_then_another_node_marks_its_silent_workers() -> None:
     clock = _Clock()
-    first, second = WorkerRegistry("a.1", clock, BEAT_S), WorkerRegistry("b.1", clock, BEAT_S)
+    first, second = (
+        WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S),
+        WorkerRegistry("b.1", clock, HEARTBEAT_INTERVAL_S),
+    )
     first.heard(_record("i", 1))
     _exchange(second, first)
     for _ in range(8):
@@ -95,12 +101,15 @@
     assert second.records()["i"].state == SILENT
 
 
-def test_given_a_silence_announced_elsewhere_then_the_node_that_hears_the_worker_corrects_it() -> None:
+def test_given_a_worker_marked_silent_elsewhere_then_the_node_with_its_heartbeats_corrects_it() -> None:
     clock = _Clock()
-    first, second = WorkerRegistry("a.1", clock, BEAT_S), WorkerRegistry("b.1", clock, BEAT_S)
+    first, second = (
+        WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S),
+        WorkerRegistry("b.1", clock, HEARTBEAT_INTERVAL_S),
+    )
     first.heard(_record("i", 1))
     _exchange(second, first)
-    first.heard(_record("i", 2))  # an ordinary beat, which the other does not learn of
+    first.heard(_record("i", 2))  # an ordinary heartbeat, which is not distributed to the other node
     for _ in range(9):
         clock.now += 0.5
         second.sweep(lambda origin: False)
@@ -110,14 +119,14 @@
     assert second.records()["i"].state == AVAILABLE
 
 
-def test_given_a_draining_worker_that_falls_silent_then_it_is_gone_for_good() -> None:
+def test_given_a_draining_worker_that_times_out_then_it_is_permanently_gone() -> None:
     clock = _Clock()
-    registry = WorkerRegistry("a.1", clock, BEAT_S)
+    registry = WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S)
     registry.heard(_record("i", 1, "draining"))
     for _ in range(20):
         clock.now += 0.5
         registry.sweep(lambda origin: True)
-    assert registry.records()["i"].state == "draining"  # it may still be at work on its last requests
+    assert registry.records()["i"].state == "draining"  # it may still be processing its last requests
     for _ in range(12):
         clock.now += 0.5
         registry.sweep(lambda origin: True)
@@ -125,8 +134,11 @@
     assert not registry.heard(_record("i", 2))
 
 
-def test_given_a_committed_end_then_it_is_handed_on() -> None:
-    first, second = WorkerRegistry("a.1", _Clock(), BEAT_S), WorkerRegistry("b.1", _Clock(), BEAT_S)
+def test_given_a_committed_departure_then_it_is_distributed() -> None:
+    first, second = (
+        WorkerRegistry("a.1", _Clock(), HEARTBEAT_INTERVAL_S),
+        WorkerRegistry("b.1", _Clock(), HEARTBEAT_INTERVAL_S),
+    )
     first.heard(_record("i", 3, "draining"))
     _exchange(second, first)
     assert second.departed("i")
@@ -147,11 +159,11 @@
 
 @settings(max_examples=200, deadline=None)
 @given(_events)
-def test_given_any_beats_and_exchanges_then_all_nodes_agree_in_the_end(
+def test_given_any_heartbeats_and_exchanges_then_all_nodes_converge(
     events: list[tuple[str, int, int]],
 ) -> None:
     clock = _Clock()
-    nodes = [WorkerRegistry(f"{name}.1", clock, BEAT_S) for name in "abc"]
+    nodes = [WorkerRegistry(f"{name}.1", clock, HEARTBEAT_INTERVAL_S) for name in "abc"]
     calls = [0, 0, 0]
     drained: set[int] = set()
     for kind, node, other in events:
@@ -170,10 +182,10 @@
             for sender in nodes:
                 if receiver is not sender:
                     _exchange(receiver, sender)
-    seen = [
+    views = [
         {key: replace(record, call_sequence=0, cold_left_ms=0.0) for key, record in node.records().items()}
         for node in nodes
     ]
-    assert seen[0] == seen[1] == seen[2]
+    assert views[0] == views[1] == views[2]
     for worker in drained:
-        assert seen[0][f"i{worker}"].state in ("draining", "gone")
+        assert views[0][f"i{worker}"].state in ("draining", "gone")
--- a/tests/system/test_review_findings.py
+++ b/tests/system/test_review_findings.py
@@ -1,4 +1,4 @@
-"""What a review of keys, freshness and fences found; each test fails on the code that was reviewed."""
+"""Regression tests for faults of keys, freshness and fencing; each fails on the code that was reviewed."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from tests.system.edge_stories import ROUTES, configuration_update, response
 from tests.system.edge_stories import configuration as edge_configuration
 from tests.system.placement_world import SERVICE
-from tests.system.test_placement_executor import LoopbackWorker, missed, record
+from tests.system.test_placement_executor import LoopbackWorker, demand_for_missing, record
 
 CHUNKED_WITH_TRAILER = (
     b"POST /pay/1 HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: first\r\n"
@@ -39,12 +39,12 @@
 NEXT = b"POST /pay/2 HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: second\r\nContent-Length: 0\r\n\r\n"
 
 
-async def _heads_of(*sent: bytes) -> list[ClientRequest]:
-    """The requests that a front reads of one client connection, until it closes that."""
-    seen: list[ClientRequest] = []
+async def _requests_read(*sent: bytes) -> list[ClientRequest]:
+    """Returns the requests that the front reads from one client connection until it closes the connection."""
+    requests: list[ClientRequest] = []
 
     async def forward(request: ClientRequest, answer: ClientAnswer) -> None:
-        seen.append(request)
+        requests.append(request)
         await answer.send_whole(200, [], b"done")
 
     front = EdgeFront(forward, Limits, ProcessEnd())
@@ -55,40 +55,40 @@
             await client.read()
     client.close()
     await front.stop(0.1)
-    return seen
+    return requests
 
 
-# Guards against: the last trailer of a request becomes the first header of the next one on its connection:
-# a key that the next request doesn't carry (ROUTE, UNASKED), one too many (DENIED), another id (UNASKED).
+# Guards against the last trailer of a request becoming the first header of the next one on its connection. It
+# adds a key that the request lacks (ROUTE, UNASKED), a second key (DENIED), or another id (UNASKED).
 @pytest.mark.parametrize("trailer", [b"Authorization: Bearer stray", b"X-Attempt-Id: stray"])
-def test_given_a_trailer_then_the_next_request_does_not_have_it(trailer: bytes) -> None:
-    async def story() -> None:
-        first, *later = await _heads_of(CHUNKED_WITH_TRAILER % trailer, NEXT)
+def test_given_a_trailer_then_it_is_not_added_to_the_next_request(trailer: bytes) -> None:
+    async def scenario() -> None:
+        first, *later = await _requests_read(CHUNKED_WITH_TRAILER % trailer, NEXT)
         assert find(first.headers, b"x-attempt-id") == "first"
         assert not later, "a connection on which trailers came is read no further"
 
-    play(story)
+    play(scenario)
 
 
-def test_given_a_chunked_request_without_trailers_then_its_connection_serves_on() -> None:
-    async def story() -> None:
+def test_given_a_chunked_request_without_trailers_then_its_connection_is_reused() -> None:
+    async def scenario() -> None:
         plain = CHUNKED_WITH_TRAILER.replace(b"%s\r\n\r\n", b"\r\n")
-        first, second = await _heads_of(plain, NEXT)
+        first, second = await _requests_read(plain, NEXT)
         assert find(first.headers, b"x-attempt-id") == "first"
         assert find(second.headers, b"authorization") is None
         assert find(second.headers, b"x-attempt-id") == "second"
 
-    play(story)
+    play(scenario)
 
 
-# Guards against: a worker reads a header, or a tenant, that stands in no configuration as such (UNASKED).
+# Guards against a tenant name that a worker reads as another header or another tenant (UNASKED).
 @pytest.mark.parametrize("name", ["acme\r\nX-Tenant: other", "acme\n", "acme\x00", " acme "])
-def test_given_a_tenant_whose_name_is_no_header_value_then_it_is_not_taken(name: str) -> None:
+def test_given_a_tenant_whose_name_is_no_header_value_then_it_is_refused(name: str) -> None:
     assert check_value(configuration(tenants=[tenant(name, "key")])).is_err()
 
 
-# Guards against: an edge whose clock is 10 % slow serves a key for longer than `revokeMs` (CONFIG).
-def test_given_a_clock_that_is_a_tenth_slow_then_keys_end_in_time() -> None:
+# Guards against an edge whose clock is 10 % slow accepting a revoked key for longer than `revokeMs` (CONFIG).
+def test_given_a_clock_that_is_a_tenth_slow_then_keys_expire_in_time() -> None:
     true_s = 0.0
     freshness = StateFreshness(5.0, lambda: 0.9 * true_s)
     freshness.answered(freshness.asked(), 0.0)
@@ -96,8 +96,8 @@
     assert not freshness.is_fresh()
 
 
-# Guards against: an edge that could not read a configuration counts as one that holds it, so that its word
-# on keys stays fresh while it serves by the one before (CONFIG).
+# Guards against an edge that could not read a configuration being treated as holding it, so that its state
+# counts as fresh while it still uses the previous keys (CONFIG).
 def test_given_a_whole_configuration_that_cannot_be_read_then_its_state_is_not_held() -> None:
     tables = FleetTables()
     tables.take(response(configuration_update(edge_configuration(ROUTES, version=3), 3), state=3))
@@ -106,18 +106,18 @@
     assert not tables.holds_state({STATE_ORIGIN: 4})
 
 
-# Guards against: an answer that was on its way while a change was missed makes up for the change (CONFIG).
+# Guards against an answer that was in flight when a change was missed marking that change as held (CONFIG).
 def test_given_a_missed_change_then_a_later_answer_without_it_does_not_make_its_state_held() -> None:
     tables = FleetTables()
     tables.take(response(configuration_update(edge_configuration(ROUTES, version=3), 3), state=3))
     tables.take(response(ConfigurationDelta(6, 5, 7, b'{"version":7}'), state=6))
     assert not tables.holds_state({STATE_ORIGIN: 6})
-    tables.take(response(state=7))  # asked for by a vector that said 6
+    tables.take(response(state=7))  # the pull carried a vector with 6
     assert not tables.holds_state({STATE_ORIGIN: 7})
 
 
 class _Tenured:
-    """A member that holds every role, with authority, all the time."""
+    """A member that permanently holds every role with authority."""
 
     holder = "node"
 
@@ -146,9 +146,9 @@
         self.committed = ControlState(1, text, 1, 1)
 
 
-# Guards against: orders go on under a token that a worker has refused as too low (ONE, Duty).
+# Guards against further orders under a token that a worker has refused as too low (ONE, Duty).
 def test_given_an_order_that_was_fenced_then_no_more_leave_under_its_token() -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         worker = LoopbackWorker(*[412] * 1000)
         known = record(await worker.start())
         authority: Any = _Tenured()
@@ -166,11 +166,11 @@
         )
         running = asyncio.create_task(service.run())
         for _ in range(200):
-            await service.on_demand(missed("m1"))
+            await service.on_demand(demand_for_missing("m1"))
             await asyncio.sleep(0.01)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
         await worker.stop()
         assert len(worker.orders) == 1, [order["fenceToken"] for order in worker.orders]
 
-    play(story)
+    play(scenario)
--- a/tests/system/usage_stage.py
+++ b/tests/system/usage_stage.py
@@ -1,4 +1,4 @@
-"""The stage of the stories about usage: core machines that owe its report, edges that count, the platform."""
+"""Simulation for the tests of usage reports: control nodes with the duty, counting edges, the platform."""
 
 from __future__ import annotations
 
@@ -28,34 +28,34 @@
 from tests.system.control_simulation.machines import ROLE, Machine, TraceLog
 from tests.system.control_simulation.network import SimulatedCaller
 from tests.system.control_simulation.world import World
-from tests.system.platform_judge import PlatformInMemory, PlatformJudge
+from tests.system.platform_judge import PlatformChecker, SimulatedPlatform
 
 WINDOW_S = 5.0
-DELAY_S = 10.0  # after its end, a window's report is due
-EPOCH_S = 1_700_000_000.0  # of the wall clock, when a story starts
-ORDER_ARRIVAL_S = 0.25
+DELAY_S = 10.0  # a report is due this long after the end of its window
+EPOCH_S = 1_700_000_000.0  # wall clock time at the start of a test
+ORDER_DELIVERY_S = 0.25
 TENANTS = ("huka", "puhu")
 
 
 def wall_clock() -> float:
-    """Seconds since the start of 1970."""
+    """Returns the simulated wall clock time in seconds since 1970."""
     return EPOCH_S + asyncio.get_running_loop().time()
 
 
 def window_now() -> int:
-    """The window of this moment."""
+    """Returns the number of the current window."""
     return int(wall_clock() // WINDOW_S)
 
 
 class DutyMachine(Machine):
-    """A core machine that takes reports of usage and may hold the duty."""
+    """A control node that receives usage reports and may hold the duty."""
 
-    stage: DutyWorld
+    world: DutyWorld
 
     def wrap_handlers(self, replica: Replica) -> dict[type[Any], Any]:
-        """With the handlers of usage; the service runs as long as the machine's life."""
+        """Adds the usage handlers and runs the usage service for the lifetime of the process."""
         self.roles = (ROLE, USAGE_ROLE)
-        wait_s = hand_over_wait_s(Bounds(fencingChecked=True, contactMs=4000), ORDER_ARRIVAL_S)
+        wait_s = hand_over_wait_s(Bounds(fencingChecked=True, contactMs=4000), ORDER_DELIVERY_S)
         authority = RoleAuthority(replica, self.clock, replica.authority_until, wait_s)
         replica.add_listener(authority.observe)
         decisions = UsageDecisions(replica, SimulatedCaller(self.network, self.address))
@@ -63,10 +63,10 @@
             self.name,
             decisions,
             authority,
-            self.stage.platform,
-            self.stage.edge_names,
+            self.world.platform,
+            self.world.edge_names,
             UsageGathering(LATE_REPORTS_SHARE * DELAY_S),
-            self.stage.judge.rate,
+            self.world.checker.rate,
             self.clock,
             TraceLog(self._trace, self.name),  # type: ignore[arg-type]
         )
@@ -80,85 +80,89 @@
 
 
 class CountingEdge:
-    """An edge that counts requests and reports them; a restart forgets its counts."""
+    """An edge that counts requests and reports them; its counts are lost on a restart."""
 
-    def __init__(self, name: str, stage: DutyWorld) -> None:
+    def __init__(self, name: str, world: DutyWorld) -> None:
         self.name = name
-        self._stage = stage
+        self._world = world
         self._life: Life | None = None
-        self._lives = 0
+        self._starts = 0
         self._tasks: list[asyncio.Task[None]] = []
         self.counts = UsageCounts(WINDOW_S, wall_clock)
 
     @property
     def running(self) -> bool:
-        """Whether it serves."""
+        """Whether the edge is running."""
         return self._life is not None and not self._life.dead
 
     def start(self) -> None:
-        """Start it, or start it again."""
+        """Starts or restarts the edge."""
         loop = asyncio.get_running_loop()
         assert isinstance(loop, LivesLoop)
         self._life = Life(self.name)
-        self._lives += 1
+        self._starts += 1
         self.counts = UsageCounts(WINDOW_S, wall_clock)
         address = f"{self.name}:1"
-        identity = NodeIdentity(self.name, f"{self.name}-{self._lives}", "zone", address, ("edge",))
-        caller = SimulatedCaller(self._stage.network, address)
-        reporter = UsageReporter(caller, identity, self.counts, self._stage.view, self._stage.draw)
+        identity = NodeIdentity(self.name, f"{self.name}-{self._starts}", "zone", address, ("edge",))
+        caller = SimulatedCaller(self._world.network, address)
+        reporter = UsageReporter(caller, identity, self.counts, self._world.view, self._world.draw)
         self._tasks.append(loop.create_task(reporter.run(), context=self._life.context))
 
     def crash(self) -> None:
-        """Its processes end at once."""
+        """Ends the edge without a shutdown."""
         loop = asyncio.get_running_loop()
         assert isinstance(loop, LivesLoop) and self._life is not None
         loop.kill(self._life)
 
     def serve(self, tenant: str, requests: int = 1) -> None:
-        """Workers begin requests of a tenant through this edge."""
+        """Counts requests of a tenant that workers start through this edge."""
         for _ in range(requests):
             self.counts.begun(tenant)
-            self._stage.count_truth(tenant)
+            self._world.count_actual(tenant)
 
 
 class DutyWorld(World):
-    """Five machines, some edges, the platform, and how many requests workers truly began."""
+    """Five control nodes, some edges, the platform, and the actual number of started requests."""
 
     machine_type = DutyMachine
 
     def __init__(
-        self, seed: int = 1, machines: int = 5, losses: int = 2, sync_s: float = 0.005, edges: int = 4
+        self, seed: int = 1, machines: int = 5, losses: int = 2, sync_s: float = 0.005, edge_count: int = 4
     ) -> None:
-        self.judge = PlatformJudge()
-        self.platform = PlatformInMemory(self.judge)
+        self.checker = PlatformChecker()
+        self.platform = SimulatedPlatform(self.checker)
         super().__init__(seed, machines, losses, sync_s)
-        self.truth: dict[int, dict[str, int]] = {}
-        self.counting = [CountingEdge(f"edge{number}", self) for number in range(edges)]
+        self.actual_counts: dict[int, dict[str, int]] = {}
+        self.counting_edges = [CountingEdge(f"edge{number}", self) for number in range(edge_count)]
         self._serving: asyncio.Task[None] | None = None
 
     def new_machine(self, name: str) -> Machine:
-        """A machine that knows this stage."""
+        """Creates a machine that belongs to this world."""
         machine = super().new_machine(name)
         assert isinstance(machine, DutyMachine)
-        machine.stage = self
+        machine.world = self
         return machine
 
     def edge_names(self) -> frozenset[str]:
-        """The edges that take traffic."""
-        return frozenset(edge.name for edge in self.counting if edge.running)
+        """Returns the names of the running edges."""
+        return frozenset(edge.name for edge in self.counting_edges if edge.running)
 
-    def count_truth(self, tenant: str) -> None:
-        """A worker began a request."""
-        counts = self.truth.setdefault(window_now(), {})
+    def count_actual(self, tenant: str) -> None:
+        """Records that a worker started a request."""
+        counts = self.actual_counts.setdefault(window_now(), {})
         counts[tenant] = counts.get(tenant, 0) + 1
 
     def newest_state(self) -> ControlState:
-        """The newest state that any running machine shows."""
-        states = [it.replica.committed for it in self.machines.values() if it.running() and it.replica]
+        """Returns the latest committed state of any running machine."""
+        states = [
+            machine.replica.committed
+            for machine in self.machines.values()
+            if machine.running() and machine.replica
+        ]
         return max(states, key=lambda state: state.sequence, default=ControlState())
 
     def view(self) -> ClusterView | None:
-        """The group as edges know it."""
+        """Returns the group as known to the edges."""
         primary = self.primary()
         if primary is None or primary.replica is None:
             return None
@@ -166,75 +170,80 @@
             RoleOwner(role, tenure.member, tenure.token) for role, tenure in self.newest_state().roles.items()
         )
         members = primary.replica.members()
-        return ClusterView(primary.replica.epoch, primary.replica.member, members, len(self.counting), roles)
+        return ClusterView(
+            primary.replica.epoch, primary.replica.member, members, len(self.counting_edges), roles
+        )
 
     def holder(self) -> Machine:
-        """The machine that has the duty; it may be down."""
+        """Returns the machine that holds the duty; it may be down."""
         member = self.newest_state().roles[USAGE_ROLE].member
         return self.machines[member.partition("-")[0]]
 
-    async def begin(self) -> None:
-        """Start all, and let every edge serve a few requests of each tenant all the time."""
+    async def start(self) -> None:
+        """Starts all machines and edges, which continuously serve some requests of each tenant."""
         self.start_all()
-        self.begin_serving()
+        self.start_serving()
         await self.until(self.is_whole, 9.0, "a whole group")
         await self.until(lambda: USAGE_ROLE in self.newest_state().roles, 5.0, "a holder of the duty")
 
-    def begin_serving(self) -> None:
-        """Start the edges, unless they serve already."""
+    def start_serving(self) -> None:
+        """Starts the edges unless they are running."""
         if self._serving is not None:
             return
-        for edge in self.counting:
+        for edge in self.counting_edges:
             edge.start()
         self._serving = asyncio.create_task(self._serve())
 
     async def _serve(self) -> None:
         while True:
             await asyncio.sleep(0.1)
-            for edge in self.counting:
+            for edge in self.counting_edges:
                 if edge.running:
                     edge.serve(self.draw.choice(TENANTS))
 
     async def until_reported(self, window: int, patience_s: float) -> None:
-        """Wait until the platform has accepted a window."""
-        await self.until(lambda: window in self.judge.reports, patience_s, f"the report of {window}")
+        """Waits until the platform has accepted a window."""
+        await self.until(lambda: window in self.checker.reports, patience_s, f"the report of {window}")
 
     async def until_window_ends(self) -> int:
-        """Wait for the end of the window of this moment; its number."""
+        """Waits for the end of the current window and returns its number."""
         window = window_now()
         await self.until(lambda: window_now() > window, 2 * WINDOW_S, "the end of a window")
         return window
 
     def require_reported(self, first: int, last: int, error: float = 0.0) -> None:
-        """Every window from `first` to `last` was reported once, each tenant's requests within `error`."""
+        """Requires one report of each window from `first` to `last`.
+
+        `error`: maximum relative error of the count of each tenant.
+        """
         for window in range(first, last + 1):
-            counts = json.loads(self.judge.reports[window])["counts"]
-            for tenant, truth in self.truth[window].items():
-                assert abs(counts.get(tenant, 0) - truth) <= error * truth, (window, tenant, counts, truth)
-        assert self.judge.violations == []
+            counts = json.loads(self.checker.reports[window])["counts"]
+            for tenant, actual in self.actual_counts[window].items():
+                assert abs(counts.get(tenant, 0) - actual) <= error * actual, (window, tenant, counts, actual)
+        assert self.checker.violations == []
         self.require_sound()
 
 
 class ScheduledDutyWorld(DutyWorld):
-    """A world for random schedules, in which the platform is in trouble at random as well.
+    """A world for random fault schedules, with random faults of the platform.
 
-    Machines are out of touch nearly all the time there, so that turns are not judged; all else is.
+    Machines are disconnected most of the time, so the order of holders within a lease is not checked.
     """
 
     def __init__(self, seed: int, machines: int, losses: int, sync_s: float) -> None:
         super().__init__(seed, machines, losses, sync_s)
-        self.judge.lease_s = 0.0
-        self._troubling: asyncio.Task[None] | None = None
+        self.checker.lease_s = 0.0
+        self._platform_faults: asyncio.Task[None] | None = None
 
     async def until_primary(self, patience_s: float = 5.0) -> Machine:
-        """As the world's; from the first primary on edges serve."""
+        """Waits for a primary and starts the edges and the faults of the platform."""
         primary = await super().until_primary(patience_s)
-        self.begin_serving()
-        if self._troubling is None:
-            self._troubling = asyncio.create_task(self._trouble_platform())
+        self.start_serving()
+        if self._platform_faults is None:
+            self._platform_faults = asyncio.create_task(self._inject_platform_faults())
         return primary
 
-    async def _trouble_platform(self) -> None:
+    async def _inject_platform_faults(self) -> None:
         while True:
             await asyncio.sleep(self.draw.uniform(0.0, WINDOW_S))
             self.platform.down = self.draw.random() < 0.3
@@ -242,6 +251,6 @@
             self.platform.lost_answers = self.draw.randint(0, 1)
 
     def require_sound(self) -> None:
-        """Fail if any check, or the platform, found a violation."""
-        self.violations += self.judge.violations
+        """Fails if any check, including those of the platform, found a violation."""
+        self.violations += self.checker.violations
         super().require_sound()
