--- a/arrowfold/configuration/__init__.py
+++ b/arrowfold/configuration/__init__.py
@@ -1,5 +1,5 @@
-"""The operator's configuration: the document, its validity, changes to it, and the route table. No I/O.
+"""The operator's configuration: document models, validation, changes, deltas and the route table.
 
-Import the modules, not this package: an edge needs `routes`, `patches` and `json_text` and must not
-load pydantic for them.
+Nothing here performs I/O. Import the modules, not this package: an edge node uses `routes`, `patches` and
+`json_text`, and must not load pydantic for them.
 """
--- a/arrowfold/configuration/diffs.py
+++ b/arrowfold/configuration/diffs.py
@@ -1,4 +1,4 @@
-"""What changed between two configurations, as a patch that is shorter to send than the whole."""
+"""Deltas between two configurations: patches that are shorter to send than the whole document."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def delta(old: ConfigurationDocument, new: ConfigurationDocument) -> bytes:
-    """A patch (JSON) that leads from `old` to exactly `new`, or the whole of `new` where that is shorter."""
+    """Returns a JSON patch that turns `old` into exactly `new`, or the whole of `new` if that is shorter."""
     whole = write_canonical({REPLACE_WITH: new.value})
     patch = _patch_between(old.value, new.value)
     applied = apply_patch(old.value, patch)
@@ -29,7 +29,7 @@
 def apply_delta(
     old: ConfigurationDocument, patch: bytes
 ) -> Result[ConfigurationDocument, ConfigurationFault]:
-    """The configuration to which `delta` led, checked whole."""
+    """Applies a patch made by `delta` and validates the resulting configuration."""
     return apply_delta_value(old.value, patch).and_then(check_value)
 
 
@@ -44,12 +44,12 @@
             continue
         before = {item[NAME]: item for item in old[member]}
         after = {item[NAME]: item for item in value}
-        changed = [item for name, item in after.items() if not _unchanged(before, name, item)]
-        dropped = [name for name in before if name not in after]
+        changed = [item for name, item in after.items() if not _is_unchanged(before, name, item)]
+        removed = [name for name in before if name not in after]
         if changed:
             upsert[member] = changed
-        if dropped:
-            remove[member] = dropped
+        if removed:
+            remove[member] = removed
     if upsert:
         patch[UPSERT] = upsert
     if remove:
@@ -58,9 +58,9 @@
 
 
 def _has_named_items(member: str, old: JsonObject, new: JsonObject) -> bool:
-    """Whether both configurations hold a list of named items here; `tenants` may be absent, or null."""
+    """Whether this member is a list of named items in both; `tenants` may be absent or null."""
     return member in _NAMED_LISTS and isinstance(old.get(member), list) and isinstance(new[member], list)
 
 
-def _unchanged(before: dict[str, Any], name: str, item: Any) -> bool:
+def _is_unchanged(before: dict[str, Any], name: str, item: Any) -> bool:
     return name in before and same_value(before[name], item)
--- a/arrowfold/configuration/documents.py
+++ b/arrowfold/configuration/documents.py
@@ -1,6 +1,8 @@
-"""The operator's document as pydantic models. Names are the wire's, times milliseconds (`...Ms`, `_ms`).
+"""The operator's document as pydantic models; field names are those of the JSON.
 
-Members that the models don't know are kept: what is read back is what was sent, as a JSON value.
+Time fields end with their unit (`Ms`, `_ms`, `S`). Unknown members are kept, so that a configuration reads
+back as the JSON value that was sent. Pydantic writes the class names into error texts, for example
+"... or instance of RouteDocument".
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 from arrowfold.configuration.json_text import JsonObject, write_canonical
 
 Name = Annotated[str, Field(min_length=1)]
-# Of what stands in a header: no control characters, no space at either end.
+# Text that is sent in an HTTP header: no control characters, no whitespace at either end.
 HeaderText = Annotated[str, Field(pattern=r"^[^\s\x00-\x1f\x7f]([^\x00-\x1f\x7f]*[^\s\x00-\x1f\x7f])?$")]
 Count = Annotated[int, Field(ge=0)]
 PositiveNumber = Annotated[float, Field(gt=0)]
@@ -20,26 +22,26 @@
 
 
 class _Document(BaseModel):
-    """A part of the configuration: unknown members allowed, no coercion between types."""
+    """Base class: unknown members are allowed, types are not coerced."""
 
     model_config = ConfigDict(extra="allow", frozen=True, strict=True)
 
 
 class SplitDocument(_Document):
-    """One service's part of a route's traffic; weights are relative to their sum."""
+    """A service's share of a route's traffic; weights are relative to their sum."""
 
     targetService: Name
     weight: Number
 
 
 class NamedDocument(_Document):
-    """An item that patches address by name."""
+    """An item of a list that patches address by its name."""
 
     name: Name
 
 
 class RouteDocument(NamedDocument):
-    """Where requests for a host and a path prefix go, and on which terms."""
+    """Target, time limits and attempt limits of requests for a host and a path prefix."""
 
     hostname: Name
     pathPrefix: Annotated[str, Field(pattern=r"^/(.*/)?$")]
@@ -81,7 +83,10 @@
 
 
 class ScalingDocument(_Document):
-    """Between which counts of workers, in each zone, a service is kept; `bootTimeS`: until one serves."""
+    """Minimum and maximum number of workers of a service in each zone.
+
+    `bootTimeS` is the time in seconds from the start of a worker until it serves.
+    """
 
     minCount: Count = 0
     maxCount: Count
@@ -89,7 +94,7 @@
 
 
 class ServiceDocument(NamedDocument):
-    """A service that routes name."""
+    """A service that routes refer to by name."""
 
     healthPath: str = "/"
     maxConnections: Count | None = None
@@ -100,7 +105,7 @@
 
 
 class LimitsDocument(_Document):
-    """What a client may send, and how long it may take or stay idle; None: the edge's own limit."""
+    """Size and time limits for clients; None selects the edge node's own limit."""
 
     maxHeaderBytes: Count | None = None
     maxBodyBytes: Count | None = None
@@ -109,7 +114,7 @@
 
 
 class TenantDocument(NamedDocument):
-    """A customer of the service; its keys stay out of the representation, which may get into a log."""
+    """A customer of the service. Its keys are left out of `repr`, which may be written to a log."""
 
     name: HeaderText
     apiKeys: Annotated[list[Name], Field(repr=False)]
@@ -117,9 +122,9 @@
 
 
 class ConfigurationDocument(_Document):
-    """A whole configuration. Requests need keys where `tenants` is a list, also where it is empty.
+    """A whole configuration. Requests need an API key if `tenants` is a list, even an empty one.
 
-    `value` is the JSON value it was read from, as the operator sent it.
+    `value` is the JSON value that it was read from, as the operator sent it.
     """
 
     version: int
@@ -131,16 +136,16 @@
 
     @classmethod
     def from_value(cls, value: JsonObject) -> ConfigurationDocument:
-        """The document of a JSON value, which is kept beside it; raises pydantic's ValidationError."""
+        """Validates a JSON value and keeps it as `value`; raises pydantic's ValidationError."""
         document = cls.model_validate(value)
         document._value = value
         return document
 
     @classmethod
     def from_committed(cls, value: JsonObject) -> ConfigurationDocument:
-        """The document of a value in force, unchecked: it was valid by the rules of its time.
+        """Wraps a committed value without validation, since it was valid by the rules of its time.
 
-        It has `version` and `value` alone: what the next change builds on.
+        Only `version` and `value` are set: the next change needs no others.
         """
         document = cls.model_construct(version=value["version"])
         document._value = value
@@ -148,11 +153,11 @@
 
     @property
     def value(self) -> JsonObject:
-        """The JSON value; treat it as immutable, since documents share its parts."""
+        """The JSON value. Treat it as immutable, since documents share parts of it."""
         return self._value
 
     def to_json(self) -> bytes:
-        """The whole configuration as JSON text, as `GET /configuration` answers it."""
+        """Returns the canonical JSON text, as `GET /configuration` answers it."""
         return write_canonical(self._value)
 
     def __eq__(self, other: Any) -> bool:
--- a/arrowfold/configuration/faults.py
+++ b/arrowfold/configuration/faults.py
@@ -1,4 +1,4 @@
-"""Why a configuration, or a change to it, is refused."""
+"""Reasons for refusing a configuration or a change to it."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     ResultCode.CONFIGURATION_VERSION_CONFLICT: 412,
     ResultCode.CONFIGURATION_TOO_LARGE: 413,
 }
-_STATUS_INVALID = 400
+_DEFAULT_STATUS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationFault:
-    """A numbered cause, its place in the document (`routes[3].targetService`, or empty), and one line.
+    """A result code, the path in the document (`routes[3].targetService`, or empty) and one line of text.
 
-    Neither quotes a key of a tenant, nor what may be one by an operator's mistake.
+    Path and text never quote a tenant's API key, nor a value that may be one by an operator's mistake.
     """
 
     code: ResultCode
@@ -30,5 +30,5 @@
 
 
 def fault_status(fault: ConfigurationFault) -> int:
-    """The HTTP status that answers an operator's call with this fault."""
-    return _STATUS_BY_CODE.get(fault.code, _STATUS_INVALID)
+    """Returns the HTTP status of the answer to an operator's call with this fault."""
+    return _STATUS_BY_CODE.get(fault.code, _DEFAULT_STATUS)
--- a/arrowfold/configuration/json_text.py
+++ b/arrowfold/configuration/json_text.py
@@ -1,4 +1,4 @@
-"""JSON as configurations need it: read strictly, written canonically, compared as JSON values."""
+"""Strict reading, canonical writing and comparison of JSON values."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 
 class _StrictJsonError(ValueError):
-    """Text that Python's reader takes, though it is no JSON or is ambiguous."""
+    """Text that Python's parser accepts although it is not valid JSON, or is ambiguous."""
 
 
-def _object_without_duplicates(pairs: list[tuple[str, Any]]) -> JsonObject:
+def _object_with_unique_keys(pairs: list[tuple[str, Any]]) -> JsonObject:
     members = dict(pairs)
     if len(members) != len(pairs):
-        raise _StrictJsonError("an object names a key twice")
+        raise _StrictJsonError("duplicate key in an object")
     return members
 
 
-def _finite(text: str) -> float:
+def _parse_finite_float(text: str) -> float:
     number = float(text)
     if not math.isfinite(number):
-        raise _StrictJsonError("a number is beyond the range")
+        raise _StrictJsonError("number out of range")
     return number
 
 
-def _refuse_constant(text: str) -> NoReturn:
-    raise _StrictJsonError(f"{text} is no JSON")
+def _reject_constant(text: str) -> NoReturn:
+    raise _StrictJsonError(f"{text} is not valid JSON")
 
 
 def read_object(body: bytes) -> Result[JsonObject, ConfigurationFault]:
-    """The JSON object in `body`; duplicate keys, infinite numbers and anything but UTF-8 are faults."""
+    """Parses a JSON object; duplicate keys, infinite numbers and text that is not UTF-8 are faults."""
     try:
         value = json.loads(
             body.decode("utf-8"),
-            object_pairs_hook=_object_without_duplicates,
-            parse_float=_finite,
-            parse_constant=_refuse_constant,
+            object_pairs_hook=_object_with_unique_keys,
+            parse_float=_parse_finite_float,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError) as error:
         return Err(ConfigurationFault(ResultCode.CONFIGURATION_UNREADABLE, "", str(error)))
@@ -53,10 +53,10 @@
 
 
 def write_canonical(value: Any) -> bytes:
-    """The one text of a JSON value: keys sorted, no spaces, ASCII."""
+    """Returns the canonical text of a JSON value: sorted keys, no whitespace, ASCII."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"), allow_nan=False).encode("ascii")
 
 
 def same_value(left: Any, right: Any) -> bool:
-    """Whether two JSON values are the same; unlike `==`, 1, 1.0 and true are different values."""
+    """Whether two JSON values are the same; unlike with `==`, 1, 1.0 and true differ."""
     return left is right or write_canonical(left) == write_canonical(right)
--- a/arrowfold/configuration/routes.py
+++ b/arrowfold/configuration/routes.py
@@ -1,6 +1,6 @@
-"""The immutable route table that an edge builds from each configuration and swaps whole.
+"""The immutable route table that an edge node builds from each configuration and replaces as a whole.
 
-It reads the JSON value of a configuration that is in force, hence valid, and does not check it again.
+It reads the JSON value of a committed, hence valid, configuration and does not validate it again.
 Times are seconds.
 """
 
@@ -12,7 +12,7 @@
 from arrowfold.configuration.json_text import JsonObject
 from arrowfold.configuration.tenants import TenantTable
 
-if TYPE_CHECKING:  # an edge must not load pydantic for it
+if TYPE_CHECKING:  # edge nodes must not load pydantic
     from arrowfold.configuration.documents import ConfigurationDocument
 
 IDEMPOTENT = "idempotent"
@@ -24,7 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of a host and prefix go. `split`: services, weights that add up to 1."""
+    """Target and limits of the requests for a host and path prefix.
+
+    `split` holds pairs of a service and its weight; the weights add up to 1.
+    """
 
     name: str
     host: str
@@ -38,26 +41,26 @@
     resumable: bool
     session_affinity: bool
     gap_aim_s: float | None
-    public_access: bool = False  # needs no key
+    public_access: bool = False  # requests need no API key
 
     def pick_service(self, fraction: float) -> str:
-        """The service for a request that drew `fraction` (0 <= fraction < 1)."""
-        passed = 0.0
+        """Returns the service for a request with the random number `fraction` (0 <= fraction < 1)."""
+        cumulative = 0.0
         for service, weight in self.split:
-            passed += weight
-            if fraction < passed:
+            cumulative += weight
+            if fraction < cumulative:
                 return service
         return self.split[-1][0]
 
     @property
     def repeatable(self) -> bool:
-        """Whether one request may run more than once; a stream may only where it can be resumed."""
+        """Whether a request may run more than once; a stream only if it can be resumed."""
         return self.kind == IDEMPOTENT or (self.kind == STREAMING and self.resumable)
 
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A model that workers of a service may load; its adapters are named a1, a2 and so on."""
+    """A model that workers of a service may load. Its adapters are named a1, a2 and so on."""
 
     name: str
     weights_mb: float
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSettings:
-    """The inference engine of a service's workers. `stride`: tokens in one event of a stream."""
+    """The inference engine of a service's workers. `stride` is the number of tokens in a stream event."""
 
     capacity_slots: int
     kv_cache_tokens: float
@@ -83,7 +86,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service that routes name. `max_connections`: at each worker, from all callers; None: no bound."""
+    """A service that routes refer to.
+
+    `max_connections` limits the connections to each worker from all callers; None for no limit.
+    """
 
     name: str
     max_connections: int | None
@@ -93,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long it may take or stay idle; None: no limit is configured."""
+    """Size and time limits for clients; None where no limit is configured."""
 
     max_header_bytes: int | None = None
     max_body_bytes: int | None = None
@@ -102,9 +108,9 @@
 
 
 class RouteTable:
-    """Routes by host and prefix, services by name, limits and tenants of one configuration; never changed."""
+    """Routes by host and prefix, services by name, limits and tenants of one configuration. Immutable."""
 
-    __slots__ = ("limits", "routes", "services", "tenants", "version", "_hosts")
+    __slots__ = ("limits", "routes", "services", "tenants", "version", "_routes_by_host")
 
     def __init__(
         self,
@@ -114,35 +120,38 @@
         limits: Limits,
         tenants: TenantTable | None = None,
     ) -> None:
-        """`tenants`: none, and no key is needed, where it is left out."""
+        """Without `tenants`, requests need no API key."""
         self.version = version
         self.routes = routes
         self.services = services
         self.limits = limits
         self.tenants = tenants or TenantTable(False, {})
-        self._hosts = _routes_by_host(routes)
+        self._routes_by_host = _group_by_host(routes)
 
     @classmethod
     def from_document(cls, document: ConfigurationDocument) -> RouteTable:
-        """The table of a checked document."""
+        """Builds the table from a validated document."""
         return cls.from_value(document.value)
 
     @classmethod
     def from_value(cls, value: JsonObject) -> RouteTable:
-        """The table of the JSON value of a valid configuration."""
+        """Builds the table from the JSON value of a valid configuration."""
         services = {item["name"]: _service(item) for item in value["services"]}
         routes = tuple(_route(item) for item in value["routes"])
         limits = _limits(value.get("limits") or {})
         return cls(value["version"], routes, services, limits, TenantTable.from_value(value))
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of a `Host` header (without its port) and a path (without its query), if there is one."""
-        entry = self._hosts.get(host) or self._hosts.get(normal_host(host))
+        """Returns the route with the longest matching prefix, or None.
+
+        The port of the `Host` header and the query of the path are ignored.
+        """
+        entry = self._routes_by_host.get(host) or self._routes_by_host.get(normal_host(host))
         if entry is None:
             return None
-        by_prefix, longest = entry
+        by_prefix, max_length = entry
         end = path.find("?")
-        end = min(longest, len(path) if end < 0 else end)
+        end = min(max_length, len(path) if end < 0 else end)
         while (slash := path.rfind("/", 0, end)) >= 0:
             route = by_prefix.get(path[: slash + 1])
             if route is not None:
@@ -152,14 +161,14 @@
 
 
 def normal_host(host: str) -> str:
-    """A host name in lower case, without port, spaces and the root's dot."""
+    """Normalizes a host name: lower case, without port, surrounding whitespace and trailing dot."""
     name = host.strip().lower()
     if name.startswith("["):
         return name.partition("]")[0] + "]"
     return name.partition(":")[0].removesuffix(".")
 
 
-def _routes_by_host(routes: tuple[Route, ...]) -> dict[str, tuple[dict[str, Route], int]]:
+def _group_by_host(routes: tuple[Route, ...]) -> dict[str, tuple[dict[str, Route], int]]:
     by_host: dict[str, dict[str, Route]] = {}
     for route in routes:
         by_host.setdefault(route.host, {})[route.prefix] = route
@@ -170,7 +179,7 @@
     return None if milliseconds is None else milliseconds / _MS_PER_S
 
 
-def _split(item: JsonObject) -> tuple[tuple[str, float], ...]:
+def _traffic_split(item: JsonObject) -> tuple[tuple[str, float], ...]:
     parts = item.get("trafficSplit")
     if parts is None:
         return ((item["targetService"], 1.0),)
@@ -190,7 +199,7 @@
         timeout_s=timeout_ms / _MS_PER_S,
         latency_objective_s=(timeout_ms if objective_ms is None else objective_ms) / _MS_PER_S,
         priority=get("priority", DEFAULT_PRIORITY),
-        split=_split(item),
+        split=_traffic_split(item),
         max_attempts=get("maxAttempts", 1),
         resumable=get("resumable", False),
         session_affinity=get("sessionAffinity", False),
--- a/arrowfold/configuration/validity.py
+++ b/arrowfold/configuration/validity.py
@@ -1,4 +1,4 @@
-"""Whether a configuration may come into force: types by pydantic, and what one member says about another."""
+"""Validation of configurations: types by pydantic, then the rules between members."""
 
 from __future__ import annotations
 
@@ -19,13 +19,16 @@
 from arrowfold.configuration.routes import normal_host
 from arrowfold.node.result_codes import ResultCode
 
-LONGEST_QUOTE = 80  # characters of an operator's text in a fault
+MAX_QUOTED_CHARACTERS = 80  # of an operator's text in a fault
 
 
 def parse_configuration(
     body: bytes, max_body_bytes: int | None = None
 ) -> Result[ConfigurationDocument, ConfigurationFault]:
-    """The configuration in `body`, or the first fault found in it."""
+    """Parses and validates a configuration; returns the first fault found.
+
+    `max_body_bytes`: the largest body accepted; None for no limit.
+    """
     if max_body_bytes is not None and len(body) > max_body_bytes:
         text = f"{len(body)} bytes, {max_body_bytes} at most"
         return Err(ConfigurationFault(ResultCode.CONFIGURATION_TOO_LARGE, "", text))
@@ -33,7 +36,7 @@
 
 
 def check_value(value: JsonObject) -> Result[ConfigurationDocument, ConfigurationFault]:
-    """The configuration that a JSON value holds, or the first fault found in it."""
+    """Validates the JSON value of a configuration; returns the first fault found."""
     try:
         document = ConfigurationDocument.from_value(value)
     except ValidationError as error:
@@ -44,7 +47,7 @@
 
 
 def member_path(location: Iterable[int | str]) -> str:
-    """A place in a document in the form `routes[3].targetService`."""
+    """Formats a location in a document as `routes[3].targetService`."""
     path = ""
     for part in location:
         if isinstance(part, int):
@@ -54,9 +57,9 @@
     return path
 
 
-def _quoted(text: str) -> str:
-    """An operator's text as a fault tells it: its beginning, with no line ends."""
-    return repr(text[:LONGEST_QUOTE])
+def _quote(text: str) -> str:
+    """Quotes the beginning of an operator's text for a fault, with line ends escaped."""
+    return repr(text[:MAX_QUOTED_CHARACTERS])
 
 
 def _invalid(path: str, text: str) -> ConfigurationFault:
@@ -70,10 +73,10 @@
         _duplicate_name("services", document.services)
         or _duplicate_name("routes", document.routes)
         or _scaling_fault(document.services)
-        or _shared_place(document.routes)
+        or _duplicate_prefix(document.routes)
         or _route_fault(document)
         or _duplicate_name("tenants", document.tenants or ())
-        or _shared_key(document.tenants or ())
+        or _duplicate_key(document.tenants or ())
     )
 
 
@@ -82,7 +85,7 @@
     for index, item in enumerate(items):
         first = positions.setdefault(item.name, index)
         if first != index:
-            return _invalid(f"{member}[{index}].name", f"{member}[{first}] has this name too")
+            return _invalid(f"{member}[{index}].name", f"{member}[{first}] has the same name")
     return None
 
 
@@ -95,55 +98,55 @@
     return None
 
 
-def _shared_place(routes: list[RouteDocument]) -> ConfigurationFault | None:
+def _duplicate_prefix(routes: list[RouteDocument]) -> ConfigurationFault | None:
     positions: dict[tuple[str, str], int] = {}
     for index, route in enumerate(routes):
         first = positions.setdefault((normal_host(route.hostname), route.pathPrefix), index)
         if first != index:
-            place = _quoted(route.hostname + route.pathPrefix)
-            return _invalid(f"routes[{index}].pathPrefix", f"{place} is the place of routes[{first}] too")
+            prefix = _quote(route.hostname + route.pathPrefix)
+            return _invalid(f"routes[{index}].pathPrefix", f"{prefix} is already used by routes[{first}]")
     return None
 
 
-def _shared_key(tenants: Sequence[TenantDocument]) -> ConfigurationFault | None:
-    """A key that two tenants hold; a key that one tenant lists twice is no fault."""
+def _duplicate_key(tenants: Sequence[TenantDocument]) -> ConfigurationFault | None:
+    """Reports an API key of two tenants; one tenant may list a key twice."""
     owners: dict[str, int] = {}
     for index, tenant in enumerate(tenants):
         for position, key in enumerate(tenant.apiKeys):
             owner = owners.setdefault(key, index)
             if owner != index:
                 path = f"tenants[{index}].apiKeys[{position}]"
-                return _invalid(path, f"tenants[{owner}] holds this key too")
+                return _invalid(path, f"tenants[{owner}] has the same key")
     return None
 
 
 def _route_fault(document: ConfigurationDocument) -> ConfigurationFault | None:
-    known = {service.name for service in document.services}
+    service_names = {service.name for service in document.services}
     for index, route in enumerate(document.routes):
-        place = f"routes[{index}]"
-        fault = _target_fault(place, route, known) or _split_fault(place, route, known)
+        path = f"routes[{index}]"
+        fault = _target_fault(path, route, service_names) or _split_fault(path, route, service_names)
         if fault is not None:
             return fault
     return None
 
 
-def _target_fault(place: str, route: RouteDocument, known: set[str]) -> ConfigurationFault | None:
+def _target_fault(path: str, route: RouteDocument, service_names: set[str]) -> ConfigurationFault | None:
     if route.targetService is None:
         return (
-            _invalid(place, "neither targetService nor trafficSplit") if route.trafficSplit is None else None
+            _invalid(path, "neither targetService nor trafficSplit") if route.trafficSplit is None else None
         )
-    if route.targetService not in known:
-        return _invalid(f"{place}.targetService", f"there is no service {_quoted(route.targetService)}")
+    if route.targetService not in service_names:
+        return _invalid(f"{path}.targetService", f"there is no service {_quote(route.targetService)}")
     return None
 
 
-def _split_fault(place: str, route: RouteDocument, known: set[str]) -> ConfigurationFault | None:
+def _split_fault(route_path: str, route: RouteDocument, service_names: set[str]) -> ConfigurationFault | None:
     if route.trafficSplit is None:
         return None
     for index, part in enumerate(route.trafficSplit):
-        if part.targetService not in known:
-            path = f"{place}.trafficSplit[{index}].targetService"
-            return _invalid(path, f"there is no service {_quoted(part.targetService)}")
+        if part.targetService not in service_names:
+            path = f"{route_path}.trafficSplit[{index}].targetService"
+            return _invalid(path, f"there is no service {_quote(part.targetService)}")
     if not sum(part.weight for part in route.trafficSplit) > 0:
-        return _invalid(f"{place}.trafficSplit", "the weights add up to 0")
+        return _invalid(f"{route_path}.trafficSplit", "the weights add up to 0")
     return None
