--- a/arrowfold/internal/__init__.py
+++ b/arrowfold/internal/__init__.py
@@ -1,1 +1,1 @@
-"""The internal protocol: typed messages between nodes, and the channel that carries them."""
+"""The internal protocol: typed messages between nodes, their encoding, and the channel that carries them."""
--- a/arrowfold/internal/messages.py
+++ b/arrowfold/internal/messages.py
@@ -1,7 +1,7 @@
-"""The messages that nodes exchange. Numbers are permanent; new fields are appended with defaults.
+"""The messages that nodes exchange. Numbers are permanent; new fields are appended, with defaults.
 
-Times are seconds, sizes are as the field's name says. Addresses are HOST:PORT of the internal protocol
-unless the name says otherwise.
+Times are seconds unless the field's name has another unit. Addresses are HOST:PORT of the internal protocol
+unless the field's name says otherwise.
 """
 
 from __future__ import annotations
@@ -11,13 +11,16 @@
 
 from arrowfold.internal.codec import encode, message
 
-STATE_ORIGIN = "state"  # the version vector's entry of the replicated control state
+STATE_ORIGIN = "state"  # entry of the replicated control state in a version vector
 
 
 @message(1)
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """Who calls: `member` is the identity on the disk of a core machine, else a name drawn at the start."""
+    """Identifies the calling node.
+
+    `member` is the persisted identity of a core machine; on other nodes a random name, drawn at each start.
+    """
 
     name: str
     member: str
@@ -29,7 +32,7 @@
 @message(2)
 @dataclass(frozen=True, slots=True)
 class HeldModel:
-    """A model that a worker holds, with the adapters on it."""
+    """A model that a worker has loaded, with its loaded adapters."""
 
     name: str
     version: int = 1
@@ -39,7 +42,10 @@
 @message(11)
 @dataclass(frozen=True, slots=True)
 class ArrivingModel:
-    """A model, or an adapter of it, that is being loaded; `ready_in_s` counts from the message's making."""
+    """A model, or one of its adapters, that is being loaded.
+
+    `ready_in_s` is the expected time until it is loaded, from the creation of the message.
+    """
 
     model: str
     adapter: str
@@ -49,10 +55,10 @@
 @message(3)
 @dataclass(frozen=True, slots=True)
 class WorkerRecord:
-    """What a worker last said of itself. `state`: available, draining, gone, or silent (not heard lately).
+    """The last report of a worker about itself.
 
-    `arriving` and `troubled` are empty in what a worker says; an edge adds them from the owner of the
-    placement.
+    `state` is available, draining, gone (removed) or silent (no recent report). `arriving` and `troubled` are
+    empty in a worker's report; edge nodes fill them in from the corrections of the placement owner.
     """
 
     instance: str
@@ -74,7 +80,7 @@
 @message(4)
 @dataclass(frozen=True, slots=True)
 class WorkerUpdate:
-    """Update `counter` of `origin`, a life of a control node that heard this worker."""
+    """Update number `counter` of `origin`, the control node process that received the worker's report."""
 
     origin: str
     counter: int
@@ -84,7 +90,7 @@
 @message(5)
 @dataclass(frozen=True, slots=True)
 class ConfigurationUpdate:
-    """The committed configuration: the whole document as JSON, at a position of the replicated state."""
+    """The committed configuration as a whole JSON document, at a position of the replicated state."""
 
     sequence: int
     version: int
@@ -94,7 +100,7 @@
 @message(6)
 @dataclass(frozen=True, slots=True)
 class ConfigurationDelta:
-    """A committed change as a PATCH document (JSON) that leads from `base_version` to `version`."""
+    """A committed change: a PATCH document (JSON) that turns `base_version` into `version`."""
 
     sequence: int
     base_version: int
@@ -105,7 +111,7 @@
 @message(7)
 @dataclass(frozen=True, slots=True)
 class DepartureUpdate:
-    """A committed notice that a worker drains or is gone; it is never taken back."""
+    """A committed notice that a worker is draining or gone (removed); it is never revoked."""
 
     sequence: int
     instance: str
@@ -116,7 +122,7 @@
 @message(8)
 @dataclass(frozen=True, slots=True)
 class MemberInfo:
-    """A core machine of the group."""
+    """A member of the replication group."""
 
     member: str
     name: str
@@ -128,7 +134,7 @@
 @message(9)
 @dataclass(frozen=True, slots=True)
 class RoleOwner:
-    """Who owns a fenced role, such as `placement/SERVICE`, under which fencing token."""
+    """The owner of a fenced role, such as `placement/SERVICE`, and its fencing token."""
 
     role: str
     member: str
@@ -138,7 +144,10 @@
 @message(10)
 @dataclass(frozen=True, slots=True)
 class ClusterView:
-    """The group as the answering node knows it. `edges`: how many edge nodes take traffic, or did lately."""
+    """The replication group as known to the answering node.
+
+    `edges` is the number of edge nodes that take traffic, or did recently.
+    """
 
     epoch: int
     primary: str
@@ -148,32 +157,33 @@
 
 
 def view_mark(view: ClusterView) -> int:
-    """The same number, not 0, for equal views at every node."""
+    """Returns a checksum above 0 that is the same for equal views on all nodes."""
     return zlib.crc32(encode(view)) + 1
 
 
 @message(12)
 @dataclass(frozen=True, slots=True)
 class WorkerCorrection:
-    """What a worker holds by the owner of the placement, which its last heartbeat does not tell yet.
+    """The placement owner's state of a worker, where the worker's last heartbeat does not show it yet.
 
-    `models` leaves out what is being unloaded.
+    `models` omits models that are being unloaded.
     """
 
     instance: str
     models: tuple[HeldModel, ...]
     arriving: tuple[ArrivingModel, ...] = ()
-    troubled: bool = False  # several edges found it failing lately
+    troubled: bool = False  # several edge nodes recently reported failures
 
 
 @message(13)
 @dataclass(frozen=True, slots=True)
 class PlacementUpdate:
-    """Corrections for the workers of a service, made after update `since` of the same origin.
+    """Changes to the corrections for the workers of a service since update `since` of the same origin.
 
-    `origin` is the role and the life of the owner's process, `token` its fencing token: of two origins the
-    one that came later under no lower token holds. `withdrawn` are instances that have no correction any
-    longer. With `since` 0 these are all corrections in force. One without any renews those before it.
+    `origin` identifies the role and the owner's process, `token` is its fencing token. Of two origins, the
+    one that arrives later replaces the other unless its token is lower. `withdrawn` lists instances whose
+    correction has ended. With `since` 0 the update holds all corrections in force. An update without
+    corrections renews the earlier ones.
     """
 
     origin: str
@@ -188,9 +198,9 @@
 @message(20)
 @dataclass(frozen=True, slots=True)
 class PullRequest:
-    """Asks for what lies beyond a version vector; held open for `wait_s` while there is nothing new.
+    """Requests the updates after a version vector; a long poll of up to `wait_s` if there are none.
 
-    `known_view`: the mark of the view that the puller has (`view_mark`), 0 for none.
+    `known_view` is the checksum of the puller's cluster view (`view_mark`), or 0 if it has none.
     """
 
     sender: NodeIdentity
@@ -203,12 +213,12 @@
 @message(21)
 @dataclass(frozen=True, slots=True)
 class PullResponse:
-    """What the puller lacks.
+    """The updates that the puller does not have.
 
-    `current`: the answering node heard from the primary lately, so a newcomer may rely on its state.
-    `view` is None where the puller has the same. `vector`: what the answering node has; the puller adopts
-    it after `updates` (a notice has none). `state_age_s`: the answering node's committed state held all that
-    had been acknowledged so long before this answer, or None if it can't tell.
+    `current`: the answering node recently had contact with the primary, so a new node may rely on its state.
+    `view` is None if the puller has the same view. `vector` is the answering node's version vector, which the
+    puller adopts after applying `updates` (a notice has none). `state_age_s`: the answering node's committed
+    state included all changes acknowledged up to this long before the answer; None if unknown.
     """
 
     current: bool
@@ -223,7 +233,7 @@
 @message(22)
 @dataclass(frozen=True, slots=True)
 class ClassDemand:
-    """What an edge saw of one class (a model, or an adapter of it) of a service since its last report."""
+    """An edge node's demand for one class (a model or an adapter) of a service since its last report."""
 
     service: str
     model: str
@@ -231,30 +241,30 @@
     requests: float
     workload_s: float
     missing: float = 0.0
-    priority: float | None = None  # mean rank of their routes, 0 the most urgent; None from older nodes
+    priority: float | None = None  # mean of their routes; 0 is the highest; None from older nodes
 
 
 @message(23)
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """Demand by class over the last `period_s` seconds, told to the owner of the service's placement."""
+    """Demand by class over the last `period_s` seconds, sent to the owner of the service's placement."""
 
     sender: NodeIdentity
     period_s: float
     classes: tuple[ClassDemand, ...]
-    failing: tuple[str, ...] = ()  # instances at which requests failed, broke off or found no connection
+    failing: tuple[str, ...] = ()  # instances with failed or aborted requests, or no connection
 
 
 @message(24)
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """The receiver has taken the message."""
+    """Confirms that the receiver has processed the message."""
 
 
 @message(25)
 @dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The receiver could not answer: a result code and one line for the log."""
+    """The receiver failed to answer: a result code and one line for the log."""
 
     code: int
     text: str
@@ -263,7 +273,7 @@
 @message(30)
 @dataclass(frozen=True, slots=True)
 class SubmitChange:
-    """An operator's call, passed on to the primary as it came. `kind`: PUT or PATCH."""
+    """An operator's configuration change, forwarded unchanged to the primary. `kind` is PUT or PATCH."""
 
     kind: str
     if_match: str | None
@@ -273,7 +283,7 @@
 @message(31)
 @dataclass(frozen=True, slots=True)
 class SubmitResult:
-    """The HTTP answer to an operator's call."""
+    """The HTTP status and body of the answer to an operator's call."""
 
     status: int
     body: bytes
@@ -282,7 +292,7 @@
 @message(32)
 @dataclass(frozen=True, slots=True)
 class SubmitDeparture:
-    """A worker's draining or gone notice, to be committed by the primary before it is acknowledged."""
+    """A worker's draining or gone notice, which the primary commits before it acknowledges it."""
 
     instance: str
     state: str
@@ -292,15 +302,16 @@
 @message(33)
 @dataclass(frozen=True, slots=True)
 class ReadConfiguration:
-    """Asks the primary for the newest committed configuration."""
+    """Requests the newest committed configuration from the primary."""
 
 
 @message(26)
 @dataclass(frozen=True, slots=True)
 class WindowCounts:
-    """How many requests of each tenant workers began in a window, as one edge saw it so far.
+    """Requests of each tenant that workers started in a window, as counted by one edge node so far.
 
-    Window k begins k times `usageWindowS` after the start of 1970. Counts only rise while the edge lives.
+    Window k starts k times `usageWindowS` seconds after the Unix epoch. Counts never decrease while the edge
+    node's process runs.
     """
 
     window: int
@@ -310,10 +321,10 @@
 @message(27)
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """An edge's counts of every window that is not known to be decided, told to the holder of the duty.
+    """An edge node's counts of every window not known to be decided, sent to the holder of the usage duty.
 
-    Counts are those since the edge's start (`sender.member` is drawn at each), so telling them twice is
-    harmless. `ended_through`: the counts of windows up to this one are whole, as they have ended.
+    Counts are cumulative since the start of the edge node (`sender.member` is new at each start), so repeated
+    reports are idempotent. `ended_through`: windows up to this one have ended, so their counts are final.
     """
 
     sender: NodeIdentity
@@ -324,7 +335,7 @@
 @message(28)
 @dataclass(frozen=True, slots=True)
 class UsageReceipt:
-    """The answer to a usage report: the counts of windows up to `decided_through` are settled for good."""
+    """The answer to a usage report: the counts of windows up to `decided_through` are final."""
 
     decided_through: int
 
@@ -332,9 +343,9 @@
 @message(34)
 @dataclass(frozen=True, slots=True)
 class DecideUsageWindow:
-    """Asks the primary to fix a window's counts, unless they are fixed already.
+    """Requests that the primary commits a window's counts, unless it has committed some already.
 
-    `token`: that of the holder's tenure; only the holder of the duty decides.
+    `token` is the fencing token of the duty's holder; only the current holder decides.
     """
 
     window: int
@@ -345,9 +356,9 @@
 @message(35)
 @dataclass(frozen=True, slots=True)
 class DecidedUsageWindow:
-    """A window's counts as they are fixed in the replicated state; every call for it carries these.
+    """A window's counts as committed in the replicated state; every report of the window uses these.
 
-    `known` is false where the window was settled before and its counts are forgotten, or it never had any.
+    `known` is false if the window was decided earlier and its counts are no longer stored, or had none.
     """
 
     window: int
@@ -358,6 +369,6 @@
 @message(36)
 @dataclass(frozen=True, slots=True)
 class MarkUsageReported:
-    """Tells the primary that the platform has accepted a window's report."""
+    """Notifies the primary that the platform has accepted a window's report."""
 
     window: int
--- a/tests/system/test_dialling.py
+++ b/tests/system/test_dialling.py
@@ -9,7 +9,12 @@
 import pytest
 
 from arrowfold.internal import dialling
-from arrowfold.internal.dialling import ATTEMPT_SPACING_S, CONNECT_TIMEOUT_S, OVERLAPPING_DIALS, Dialler
+from arrowfold.internal.dialling import (
+    ATTEMPT_SPACING_S,
+    CONNECT_TIMEOUT_S,
+    SINGLE_ATTEMPT_AFTER_DIALS,
+    Dialler,
+)
 from tests.system.virtual_time import run_virtual
 
 ADDRESS = "10.0.0.1:7000"
@@ -119,7 +124,7 @@
         return len(network.attempts_s) - before
 
     async def story() -> list[int]:
-        return [await dial() for _ in range(OVERLAPPING_DIALS + 2)]
+        return [await dial() for _ in range(SINGLE_ATTEMPT_AFTER_DIALS + 2)]
 
     attempts = run_virtual(story())
     assert attempts[0] > 5
