--- a/arrowfold/explain/__init__.py
+++ b/arrowfold/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Sums trace records up: where answers in time were lost, when, and at which step."""
+"""Summarizes trace records: which requests missed their latency objective, when, and at which step."""
--- a/arrowfold/explain/causes.py
+++ b/arrowfold/explain/causes.py
@@ -1,4 +1,4 @@
-"""Why a request was not answered in time, judged by the steps of its record."""
+"""Determines why a request was not answered in time, from the steps in its trace record."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from arrowfold.explain.records import LateRequest
 from arrowfold.node.result_codes import ResultCode
 
-SLOW_EDGE_MS = 100  # from arrival to the first decision: more means that the edge itself was slow
+SLOW_EDGE_MS = 100  # maximum time before an attempt is sent; above it the edge node itself was slow
 
 
 class Cause(Enum):
-    """The first step that took a request's time, or ended it."""
+    """The first step that delayed or ended a request. Names and texts appear in the summary."""
 
     MODEL_REFUSED = "its model was not held: refused until the load's end"
     MODEL_WAITED = "its model was not held: waited for a load"
@@ -28,34 +28,38 @@
 
 
 def cause_of(request: LateRequest) -> Cause:
-    """The cause of one request's lateness or loss."""
-    by_code = _OWN_ANSWERS.get(request.code)
-    if by_code is not None and not request.sends:
-        return by_code
-    if request.missed_ms is not None and request.held_ms is not None and request.served:
+    """Returns why a request was late or failed."""
+    cause_of_code = _CAUSE_BY_CODE.get(request.code)
+    if cause_of_code is not None and not request.attempts:
+        return cause_of_code
+    if request.model_missing_ms is not None and request.model_loaded_ms is not None and request.is_served:
         return Cause.MODEL_WAITED
-    if any(send.outcome in ("lost", "unreachable") for send in request.sends):
+    if any(attempt.outcome in ("lost", "unreachable") for attempt in request.attempts):
         return Cause.WORKER_LOST
-    if any(send.outcome == "failed" for send in request.sends):
+    if any(attempt.outcome == "failed" for attempt in request.attempts):
         return Cause.WORKER_FAILED
-    if by_code is not None:
-        return by_code
-    if request.served:
-        return _lateness(request)
+    if cause_of_code is not None:
+        return cause_of_code
+    if request.is_served:
+        return _cause_of_lateness(request)
     return Cause.UNANSWERED
 
 
-def _lateness(request: LateRequest) -> Cause:
-    last = request.sends[-1] if request.sends else None
-    came_ms = None if last is None else last.first_event_ms
-    if came_ms is not None and came_ms <= request.objective_ms and request.pause_objective_ms:
+def _cause_of_lateness(request: LateRequest) -> Cause:
+    last = request.attempts[-1] if request.attempts else None
+    last_first_event_ms = None if last is None else last.first_event_ms
+    if (
+        last_first_event_ms is not None
+        and last_first_event_ms <= request.objective_ms
+        and request.pause_objective_ms
+    ):
         return Cause.PAUSE
     if last is not None and last.sent_ms > SLOW_EDGE_MS:
         return Cause.SENT_LATE
     return Cause.WORKER_SLOW
 
 
-_OWN_ANSWERS = {
+_CAUSE_BY_CODE = {
     int(ResultCode.MODEL_LOADING): Cause.MODEL_REFUSED,
     int(ResultCode.NO_WORKER): Cause.NO_WORKER,
     int(ResultCode.NO_CONFIGURATION_YET): Cause.NO_CONFIGURATION,
--- a/arrowfold/explain/records.py
+++ b/arrowfold/explain/records.py
@@ -1,4 +1,4 @@
-"""Trace records as typed values, read from the logs of a system's processes."""
+"""Reads trace records from the logs of the system's processes into typed values."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-_RECORD = re.compile(r'\{"trace":.*\}')
-_PLACED = re.compile(r"^\s*(-?\d+\.\d+)\s")  # at a line's start: the time on a common clock
+_RECORD_TEXT = re.compile(r'\{"trace":.*\}')
+_COMMON_CLOCK_TIME = re.compile(r"^\s*(-?\d+\.\d+)\s")  # at the start of a line, in seconds
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """One send of a request to a worker; times in milliseconds after the request's arrival."""
+class Attempt:
+    """One attempt of a request at a worker; times in milliseconds after the request's arrival."""
 
     instance: str
     sent_ms: int
@@ -26,9 +26,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LateRequest:
-    """A request that was late, refused or failed; times in milliseconds after its arrival."""
+    """A request that was late, refused or failed; times in milliseconds after its arrival.
 
-    at_s: float
+    `model_missing_ms`: no worker had its model loaded; `load_known_ms`: a load of the model was known;
+    `model_loaded_ms`: a worker had loaded the model. `client_wait_ms` is the maximum wait of the client.
+    """
+
+    time_s: float
     node: str
     route: str
     priority: int
@@ -36,11 +40,11 @@
     adapter: str
     prompt_tokens: int
     objective_ms: int
-    patience_ms: int
-    missed_ms: int | None
+    client_wait_ms: int
+    model_missing_ms: int | None
     load_known_ms: int | None
-    held_ms: int | None
-    sends: tuple[Send, ...]
+    model_loaded_ms: int | None
+    attempts: tuple[Attempt, ...]
     pause_ms: int
     pause_objective_ms: int
     end_ms: int
@@ -48,8 +52,8 @@
     code: int
 
     @property
-    def served(self) -> bool:
-        """Whether it got a worker's success in the end."""
+    def is_served(self) -> bool:
+        """Whether the final answer was a worker's success."""
         return 200 <= self.status < 300
 
 
@@ -57,22 +61,25 @@
 class UnroutedRequest:
     """A request that was refused before its route was known."""
 
-    at_s: float
+    time_s: float
     node: str
     code: int
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """One load; times in milliseconds from step to step."""
+    """One load of a model or adapter; durations of its steps in milliseconds.
+
+    `planned_to_eviction_ms` and `eviction_to_order_ms` are None if no eviction was needed.
+    """
 
-    at_s: float
+    time_s: float
     model: str
     adapter: str
     urgent: bool
     missed_to_planned_ms: int | None
-    planned_to_room_ms: int | None
-    room_to_order_ms: int | None
+    planned_to_eviction_ms: int | None
+    eviction_to_order_ms: int | None
     planned_to_order_ms: int
     order_to_accepted_ms: int
     accepted_to_done_ms: int | None
@@ -80,54 +87,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Records:
-    """All that was read. `unreadable`: lines that look like records and are none."""
+    """All records read. `unreadable` counts lines that look like records but can't be parsed."""
 
     requests: tuple[LateRequest, ...]
     unrouted: tuple[UnroutedRequest, ...]
     loads: tuple[Load, ...]
     unreadable: int
-    suppressed: int  # records that the nodes left out, by their own word
+    suppressed: int  # records that the nodes left out, as they report
 
 
 def read_records(lines: Iterable[str]) -> Records:
-    """The records among the lines of one or more logs."""
+    """Returns the records among the lines of one or more logs."""
     requests: list[LateRequest] = []
     unrouted: list[UnroutedRequest] = []
     loads: list[Load] = []
     unreadable = suppressed = 0
     for line in lines:
-        found = _RECORD.search(line)
+        found = _RECORD_TEXT.search(line)
         if found is None:
             continue
         try:
             fields = json.loads(found.group())
             suppressed += int(fields.get("suppressed", 0))
-            kind, at_s = fields["trace"], _time(line, fields)
+            kind, time_s = fields["trace"], _time_s(line, fields)
             if kind == "request":
-                requests.append(_request(fields, at_s))
+                requests.append(_request(fields, time_s))
             elif kind == "unrouted":
-                unrouted.append(UnroutedRequest(at_s, fields["node"], int(fields["code"])))
+                unrouted.append(UnroutedRequest(time_s, fields["node"], int(fields["code"])))
             elif kind == "load":
-                loads.append(_load(fields, at_s))
+                loads.append(_load(fields, time_s))
         except (ValueError, KeyError, TypeError, AttributeError):
             unreadable += 1
     return Records(tuple(requests), tuple(unrouted), tuple(loads), unreadable, suppressed)
 
 
-def _time(line: str, fields: dict[str, Any]) -> float:
-    """The moment on a common clock where the log has one, else on the node's own.
+def _time_s(line: str, fields: dict[str, Any]) -> float:
+    """Returns the start time on the log's common clock if it has one, else on the node's own clock.
 
-    A common clock tells when the line was written: at the end of what it tells of.
+    The common clock has the time at which the line was written; a request's record is written at its end.
     """
-    placed = _PLACED.match(line)
-    if placed is None:
+    written = _COMMON_CLOCK_TIME.match(line)
+    if written is None:
         return float(fields["at"])
-    return float(placed.group(1)) - (fields.get("end") or 0) / 1000
+    return float(written.group(1)) - (fields.get("end") or 0) / 1000
 
 
-def _request(fields: dict[str, Any], at_s: float) -> LateRequest:
+def _request(fields: dict[str, Any], time_s: float) -> LateRequest:
     return LateRequest(
-        at_s=at_s,
+        time_s=time_s,
         node=fields["node"],
         route=fields["route"],
         priority=fields["priority"],
@@ -135,11 +142,11 @@
         adapter=fields["adapter"],
         prompt_tokens=fields["prompt"],
         objective_ms=fields["objective"],
-        patience_ms=fields["patience"],
-        missed_ms=fields["missed"],
+        client_wait_ms=fields["patience"],
+        model_missing_ms=fields["missed"],
         load_known_ms=fields["load_known"],
-        held_ms=fields["held"],
-        sends=tuple(Send(*send) for send in fields["sends"]),
+        model_loaded_ms=fields["held"],
+        attempts=tuple(Attempt(*attempt) for attempt in fields["sends"]),
         pause_ms=fields["pause"],
         pause_objective_ms=fields["pause_objective"],
         end_ms=fields["end"],
@@ -148,15 +155,15 @@
     )
 
 
-def _load(fields: dict[str, Any], at_s: float) -> Load:
+def _load(fields: dict[str, Any], time_s: float) -> Load:
     return Load(
-        at_s=at_s,
+        time_s=time_s,
         model=fields["model"],
         adapter=fields["adapter"],
         urgent=fields["urgent"],
         missed_to_planned_ms=fields["missed_to_planned"],
-        planned_to_room_ms=fields["planned_to_room"],
-        room_to_order_ms=fields["room_to_order"],
+        planned_to_eviction_ms=fields["planned_to_room"],
+        eviction_to_order_ms=fields["room_to_order"],
         planned_to_order_ms=fields["planned_to_order"],
         order_to_accepted_ms=fields["order_to_accepted"],
         accepted_to_done_ms=fields["accepted_to_done"],
--- a/arrowfold/node/__init__.py
+++ b/arrowfold/node/__init__.py
@@ -1,1 +1,1 @@
-"""What every process of the system needs: its settings, its log and its numbered result codes."""
+"""Shared by all processes of the system: settings, log, trace records, signals and result codes."""
--- a/arrowfold/node/library_loading.py
+++ b/arrowfold/node/library_loading.py
@@ -1,8 +1,7 @@
-"""Loads a program's libraries faster: a fleet that starts anew after a loss of power waits for it.
+"""Shortens the import of a program's libraries, which delays the restart of a fleet after a power loss.
 
-Left out is what is of no use while libraries load, or ever: collections of garbage, and the machine's
-store of certificates. The HTTP library reads that when it is loaded, and nodes, workers and clients speak
-plain HTTP.
+Garbage collection is disabled during the import, and the machine's certificate store is not read. The HTTP
+library would read it when it is imported, but nodes, workers and clients use plain HTTP.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 @contextlib.contextmanager
 def loading_libraries() -> Iterator[None]:
-    """Import within this; what was loaded is left out of later collections of garbage."""
+    """Context for imports; objects created in it are excluded from later garbage collections."""
     os.environ.setdefault(CERTIFICATES_VARIABLE, os.devnull)
     gc.disable()
     try:
--- a/arrowfold/node/listeners.py
+++ b/arrowfold/node/listeners.py
@@ -1,6 +1,6 @@
-"""Listening sockets that are open before a program has loaded its libraries.
+"""Listening sockets that are opened before a program has loaded its libraries.
 
-Loading takes a good part of a second. Until then the kernel keeps new connections; a port without a listener
+Loading takes a good part of a second. The kernel queues new connections meanwhile; a port without a listener
 would reset them.
 """
 
@@ -12,18 +12,19 @@
 
 from arrowfold.node.settings_path import settings_path
 
-BACKLOG = 1024
-Listeners = dict[str, socket.socket]  # by the name of what is served: front, readiness
+BACKLOG = 1024  # connections that the kernel queues for each socket
+Listeners = dict[str, socket.socket]  # by the key in `listenAddresses`: front, readiness
 
 
 def open_listeners(
     named: str | None = None, before_listening: Callable[[], None] = lambda: None
 ) -> Listeners:
-    """Listen at every address of the settings file's `listenAddresses` (named, or the environment's).
+    """Listen at every address in `listenAddresses` of the settings file.
 
-    `before_listening` is called before the first socket listens: what clients send is kept from then on.
+    The file is the one at `named`, else the one that the environment names. `before_listening` is called
+    before the first socket listens, since the kernel accepts clients' data from then on.
 
-    What can't be read or bound is left out: the full check of the settings reports it.
+    Addresses that can't be read or bound are left out, since the full check of the settings reports them.
     """
     path = settings_path(named)
     try:
--- a/arrowfold/node/logs.py
+++ b/arrowfold/node/logs.py
@@ -1,4 +1,4 @@
-"""The structured log of a process: events with fields on standard error, limited in rate for each event."""
+"""Structured logging: events with fields on standard error, with a rate limit for each event."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from loguru import logger
 
-EVENTS_PER_SECOND = 20  # of one event; what lies beyond is counted and told with the next that passes
+MAX_LINES_PER_SECOND = 20  # for each event; suppressed lines are counted in a later one
 
 
 class RateLimitedLog:
-    """Writes `event key=value ...` lines; no event can flood the log."""
+    """Writes `event key=value ...` lines, with a limited rate for each event."""
 
     def __init__(self, node: str, clock: Callable[[], float] = time.monotonic) -> None:
         self._node = node
@@ -21,34 +21,34 @@
         self._windows: dict[str, tuple[float, int]] = {}
 
     def info(self, event: str, **fields: Any) -> None:
-        """Log what an operator may want to see on an ordinary day."""
+        """Log an event of normal operation."""
         self._write("INFO", event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Log what an operator should look at."""
+        """Log an event that an operator should look into."""
         self._write("WARNING", event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Log what must not happen."""
+        """Log an error that must not occur."""
         self._write("ERROR", event, fields)
 
     def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
         now = self._clock()
         started, count = self._windows.get(event, (now, 0))
         if now - started >= 1.0:
-            suppressed = max(0, count - EVENTS_PER_SECOND)
+            suppressed = max(0, count - MAX_LINES_PER_SECOND)
             started, count = now, 0
             if suppressed:
                 fields = {**fields, "suppressed": suppressed}
         self._windows[event] = (started, count + 1)
-        if count >= EVENTS_PER_SECOND:
+        if count >= MAX_LINES_PER_SECOND:
             return
         text = " ".join(f"{key}={value!r}" for key, value in fields.items())
         logger.log(level, f"event={event} node={self._node} {text}".rstrip())
 
 
 def configure(level: str = "INFO", json_lines: bool = False) -> None:
-    """Send the log to standard error, as key=value or as JSON lines."""
+    """Configure the log: the least level, and key=value or JSON lines on standard error."""
     logger.remove()
     logger.add(
         sys.stderr,
--- a/arrowfold/node/result_codes.py
+++ b/arrowfold/node/result_codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes of everything the system answers by itself; docs/result-codes.md explains each.
+"""Numbered result codes of the answers that the system itself gives; docs/result-codes.md explains each.
 
 1xx: the operator's API; 2xx: workers' registration; 3xx: requests of clients; 4xx: control state;
 5xx: orders to workers; 6xx: settings and command line.
@@ -10,7 +10,7 @@
 
 
 class ResultCode(IntEnum):
-    """Why a call was answered as it was. Numbers are never given a second meaning."""
+    """The reason for an answer. A number is never reused for another meaning."""
 
     CONFIGURATION_UNREADABLE = 101
     CONFIGURATION_INVALID = 102
--- a/arrowfold/node/settings.py
+++ b/arrowfold/node/settings.py
@@ -1,6 +1,7 @@
-"""The settings of one process: the TOML file that `ARROWFOLD_NODE_FILE` names, with every key's type checked.
+"""The settings of one process, read from the TOML file that `ARROWFOLD_NODE_FILE` names.
 
-Unknown keys are skipped, so that a newer platform can add some. A fault is reported with the key's path.
+Field names are the keys of the file. The type of every key is checked, and errors name the key's path.
+Unknown keys are ignored, so that a newer platform can add keys.
 """
 
 from __future__ import annotations
@@ -11,16 +12,16 @@
 
 from result import Err, Ok, Result
 
-from arrowfold.node.typed_tables import AT_LEAST, TableError, read_table
+from arrowfold.node.typed_tables import MINIMUM, TableError, read_table
 
 
 class SettingsError(Exception):
-    """The settings file can't be used; the text is one line that names the file and the key's path."""
+    """The settings file is not usable; the text is one line with the file and the key's path."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListenAddresses:
-    """The addresses of what this role serves, as HOST:PORT; None where it does not serve it."""
+    """Listening addresses of this role, as HOST:PORT; None for what it does not serve."""
 
     front: str | None = None
     readiness: str | None = None
@@ -29,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProcessLimits:
-    """What the machine gives this process."""
+    """Resources of the machine that this process may use."""
 
     cpuShare: float = 1.0
     cpuCores: int = 1
@@ -41,16 +42,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FaultTolerance:
-    """What may be lost at one time while every rule is still kept."""
+    """Simultaneous losses that the system must tolerate while it keeps every operating rule."""
 
-    machineLosses: int = field(default=0, metadata={AT_LEAST: 0})
+    machineLosses: int = field(default=0, metadata={MINIMUM: 0})
     zones: int = 0
     regionLosses: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Bounds:
-    """The figures of the operating rules, in the units that the names carry."""
+    """Limits in the operating rules, in the units of the names."""
 
     seedLagS: float = 3
     addressReuseS: float = 2
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CloudApi:
-    """The platform's API, and the calls to it that one node at a time owes."""
+    """The platform's API, and the duties: calls to it that one node at a time is responsible for."""
 
     address: str
     ratePerS: float = 50.0
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NodeSettings:
-    """The whole settings file of one process."""
+    """The settings file of one process."""
 
     nodeName: str
     role: str = ""
@@ -118,21 +119,21 @@
 
     @property
     def internal_port(self) -> int:
-        """The TCP port on which nodes speak the internal protocol; the same on every machine."""
+        """The TCP port of the internal protocol; the same on every machine."""
         return self.internalPorts[0]
 
     @property
     def internal_address(self) -> str:
-        """Where this process takes internal calls, as HOST:PORT."""
+        """The address of this process for the internal protocol, as HOST:PORT."""
         return f"{self.ipAddress}:{self.internal_port}"
 
     def seed_internal_addresses(self) -> tuple[str, ...]:
-        """The internal addresses of the seed nodes, in the order of the file."""
+        """Returns the internal addresses of the seed nodes, in the order of the file."""
         return tuple(f"{seed.rsplit(':', 1)[0]}:{self.internal_port}" for seed in self.seedNodes)
 
 
 def parse_settings(text: str, source: str) -> Result[NodeSettings, SettingsError]:
-    """Read and check the text of a settings file; `source` names it in errors."""
+    """Parse and check the text of a settings file; errors name it as `source`."""
     try:
         return Ok(read_table(NodeSettings, tomllib.loads(text)))
     except tomllib.TOMLDecodeError as error:
--- a/arrowfold/node/settings_path.py
+++ b/arrowfold/node/settings_path.py
@@ -1,4 +1,4 @@
-"""Where the settings file is; apart from the settings, so that it is known before they are loaded."""
+"""The path of the settings file, in a module of its own that can be imported before the settings are."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def settings_path(named: str | None = None) -> Path | None:
-    """The path that is named, else the one that the environment names, if it names one."""
+    """Returns the given path, else the one in the environment variable, else None."""
     name = named or os.environ.get(SETTINGS_VARIABLE)
     return Path(name) if name else None
--- a/tests/system/test_explain.py
+++ b/tests/system/test_explain.py
@@ -14,7 +14,7 @@
 from arrowfold.explain.records import LateRequest, read_records
 from arrowfold.explain.summary import Worth, summary_lines
 from arrowfold.node.result_codes import ResultCode
-from arrowfold.node.traces import RECORDS_A_SECOND, TraceWriter
+from arrowfold.node.traces import MAX_RECORDS_PER_SECOND, TraceWriter
 from arrowfold.programs import system
 from tests.system.selection_stage import Stage
 
@@ -86,7 +86,7 @@
         '{"trace":"unrouted","node":"edge-2","at":3.5,"code":302}',
     ]
     records = read_records(lines)
-    assert [request.at_s for request in records.requests] == [32.5]
+    assert [request.time_s for request in records.requests] == [32.5]
     assert [item.code for item in records.unrouted] == [302]
     assert records.unreadable == 1
 
@@ -140,12 +140,12 @@
     now_s = [100.0]
     stream = io.StringIO()
     writer = TraceWriter("edge-1", lambda: now_s[0], stream)
-    for _ in range(RECORDS_A_SECOND + 7):
+    for _ in range(MAX_RECORDS_PER_SECOND + 7):
         writer.write(REQUEST_KIND, {})
     now_s[0] += 1.0
     writer.write(REQUEST_KIND, {})
     lines = stream.getvalue().splitlines()
-    assert len(lines) == RECORDS_A_SECOND + 1
+    assert len(lines) == MAX_RECORDS_PER_SECOND + 1
     assert json.loads(lines[-1])["suppressed"] == 7
 
 
--- a/tests/system/test_process_signals.py
+++ b/tests/system/test_process_signals.py
@@ -184,9 +184,9 @@
 def test_given_no_open_sockets_then_a_termination_while_loading_ends_at_once() -> None:
     codes: list[int] = []
     signals = ProcessSignals(end_process=codes.append)
-    signals.note(signal.SIGHUP)
+    signals.handle(signal.SIGHUP)
     assert codes == []
-    signals.note(signal.SIGINT)
+    signals.handle(signal.SIGINT)
     assert codes == [0]
 
 
@@ -195,7 +195,7 @@
     signals = ProcessSignals(end_process=lambda code: pytest.fail(f"ended with {code}"))
     signals.listen(_RecordingLoop(), lambda: told.append("end"), lambda: told.append("reload"))
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signals.note(number)
+        signals.handle(number)
     assert told == ["reload", "end", "reload"]
     age_s = signals.termination_age_s()
     assert age_s is not None and 0.0 <= age_s < LONG
@@ -205,4 +205,4 @@
     signals = ProcessSignals(end_process=lambda code: pytest.fail(f"ended with {code}"))
     signals.listen(_RecordingLoop(is_closed=True), lambda: None, lambda: None)
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
-        signals.note(number)
+        signals.handle(number)
--- a/tests/system/test_startup.py
+++ b/tests/system/test_startup.py
@@ -133,7 +133,7 @@
     signals = ProcessSignals()
 
     def be_told_a_while_after_its_signal() -> None:
-        signals.note(signal.SIGTERM)
+        signals.handle(signal.SIGTERM)
         clock.now_s += 0.25
 
     async def story() -> None:
@@ -152,11 +152,11 @@
     node = RecordingNode()
     signals = ProcessSignals(end_process=lambda code: pytest.fail(f"ended with {code}"))
     signals.defer_termination()
-    signals.note(signal.SIGTERM)
+    signals.handle(signal.SIGTERM)
     clock.now_s += 1.5
     # When it has loaded, and further signals have come
-    signals.note(signal.SIGTERM)
-    signals.note(signal.SIGINT)
+    signals.handle(signal.SIGTERM)
+    signals.handle(signal.SIGINT)
     asyncio.run(run_node(open_settings(str(file)).unwrap(), lambda log: node, signals))
     # Then its node is started, so that what waits is answered, and knows how much of the time has passed
     assert node.calls == ["start", "stop"]
