--- a/tests/system/configurations.py
+++ b/tests/system/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations for tests: a small valid one, and a hypothesis strategy for any valid one."""
+"""Configurations for tests: a small valid one and a Hypothesis strategy for valid ones."""
 
 from __future__ import annotations
 
@@ -11,20 +11,19 @@
 HOSTS = st.sampled_from(["a.example", "B.Example", "c.example"])
 PREFIXES = st.sampled_from(["/", "/a/", "/a/b/", "/a/b/c/", "/long-name/"])
 WEIGHTS = st.one_of(st.integers(0, 100), st.floats(0, 100, allow_nan=False))
-TEXT = st.text(
-    alphabet='a"\\/é\n\u2028😀', max_size=5
-)  # a small alphabet: that of all characters is slow to make
+TEXT = st.text(alphabet='a"\\/é\n\u2028😀', max_size=5)  # small, as generating from all characters is slow
 JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False, allow_infinity=False) | TEXT,
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXT, inner, max_size=3),
     max_leaves=5,
 )
-KEYS = st.text(alphabet="abc", min_size=1, max_size=2).map("secret-{}".format)  # few: tenants pass them on
+# Few, so that keys move between tenants.
+KEYS = st.text(alphabet="abc", min_size=1, max_size=2).map("secret-{}".format)
 UNKNOWN_MEMBERS = st.dictionaries(st.sampled_from(["xNote", "xOwner"]), JSON_VALUES, max_size=2)
 
 
 def route(name: str = "r", **members: Any) -> dict[str, Any]:
-    """A valid route to service `s`, with some members replaced."""
+    """Returns a valid route to service `s`, with some members replaced."""
     return {
         "name": name,
         "hostname": "a.example",
@@ -39,7 +38,7 @@
 
 
 def configuration(version: int = 7, **members: Any) -> dict[str, Any]:
-    """A valid configuration with route `r` and services `s` and `t`, with some members replaced."""
+    """Returns a valid configuration with route `r`, services `s` and `t`, and some members replaced."""
     return {
         "version": version,
         "routes": [route()],
@@ -49,27 +48,31 @@
 
 
 def tenant(name: str, *keys: str, **members: Any) -> dict[str, Any]:
-    """A tenant that holds these keys."""
+    """Returns a tenant with these API keys."""
     return {"name": name, "apiKeys": list(keys)} | members
 
 
 def text_of(value: Any) -> bytes:
-    """The JSON text of a value."""
+    """Returns the JSON text of a value."""
     return json.dumps(value).encode()
 
 
 @st.composite
 def valid_configurations(draw: st.DrawFn, version: int = 1) -> dict[str, Any]:
-    """Any valid configuration, with members that the models don't know."""
+    """Draws a valid configuration, with unknown members."""
     service_names = draw(st.lists(NAMES, min_size=1, max_size=4, unique=True))
     services = [{"name": name} | draw(UNKNOWN_MEMBERS) for name in service_names]
-    places = draw(
-        st.lists(st.tuples(HOSTS, PREFIXES), max_size=6, unique_by=lambda place: (place[0].lower(), place[1]))
+    locations = draw(
+        st.lists(
+            st.tuples(HOSTS, PREFIXES),
+            max_size=6,
+            unique_by=lambda location: (location[0].lower(), location[1]),
+        )
     )
-    route_names = draw(st.lists(NAMES, min_size=len(places), max_size=len(places), unique=True))
+    route_names = draw(st.lists(NAMES, min_size=len(locations), max_size=len(locations), unique=True))
     routes = [
-        draw(_routes(name, host, prefix, service_names))
-        for name, (host, prefix) in zip(route_names, places, strict=True)
+        draw(_valid_route(name, host, prefix, service_names))
+        for name, (host, prefix) in zip(route_names, locations, strict=True)
     ]
     members = draw(UNKNOWN_MEMBERS)
     if draw(st.booleans()):
@@ -81,7 +84,7 @@
 
 @st.composite
 def tenant_lists(draw: st.DrawFn) -> list[dict[str, Any]]:
-    """Any valid list of tenants: no name twice, and no key with two of them."""
+    """Draws a valid list of tenants: names are unique and no key belongs to two tenants."""
     names = draw(st.lists(NAMES, max_size=4, unique=True))
     keys = draw(st.lists(KEYS, max_size=6, unique=True))
     owners = [draw(st.integers(0, len(names))) for _ in keys]
@@ -94,7 +97,9 @@
 
 
 @st.composite
-def _routes(draw: st.DrawFn, name: str, host: str, prefix: str, service_names: list[str]) -> dict[str, Any]:
+def _valid_route(
+    draw: st.DrawFn, name: str, host: str, prefix: str, service_names: list[str]
+) -> dict[str, Any]:
     kinds = st.sampled_from(["idempotent", "non_idempotent", "streaming"])
     item = {"name": name, "hostname": host, "pathPrefix": prefix, "routeKind": draw(kinds)}
     item["timeoutMs"] = draw(st.one_of(st.integers(1, 10_000), st.floats(0.5, 10_000)))
--- a/tests/system/test_configuration_changes.py
+++ b/tests/system/test_configuration_changes.py
@@ -1,4 +1,4 @@
-"""An operator's PUT and PATCH against what is current; the same change sent again."""
+"""Preparation of an operator's PUT and PATCH, and the digest that identifies a repeated change."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     return parse_configuration(text_of(configuration(version, **members))).unwrap()
 
 
-def patched(patch: dict[str, Any], current: ConfigurationDocument | None = None) -> ConfigurationDocument:
+def apply(patch: dict[str, Any], current: ConfigurationDocument | None = None) -> ConfigurationDocument:
     return prepare_patch(current or document(), "7", text_of({"version": 9} | patch)).unwrap()
 
 
-def patch_fault(patch: dict[str, Any]) -> ConfigurationFault:
+def fault_of_patch(patch: dict[str, Any]) -> ConfigurationFault:
     return prepare_patch(document(), "7", text_of({"version": 9} | patch)).unwrap_err()
 
 
-def names(items: list[Any]) -> list[str]:
+def names_of(items: list[Any]) -> list[str]:
     return [item.name for item in items]
 
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("if_match", ["7", '"7"', ' "7" ', 'W/"7"'])
-def test_a_put_on_the_current_version_is_taken(if_match: str) -> None:
+def test_a_put_on_the_current_version_is_accepted(if_match: str) -> None:
     assert prepare_put(document(7), if_match, text_of(configuration(9))).unwrap().version == 9
 
 
@@ -72,23 +72,23 @@
 def test_a_patch_replaces_in_place_adds_at_the_end_and_removes() -> None:
     current = document(routes=[route("a"), route("b"), route("c")], xOwner="kept")
     upsert = {"routes": [route("d"), route("b", timeoutMs=9)], "services": [{"name": "u"}]}
-    new = patched({"upsert": upsert, "remove": {"routes": ["a", "not there"]}}, current)
+    new = apply({"upsert": upsert, "remove": {"routes": ["a", "not there"]}}, current)
     assert new.version == 9
-    assert names(new.routes) == ["b", "c", "d"]
+    assert names_of(new.routes) == ["b", "c", "d"]
     assert new.routes[0].timeoutMs == 9
-    assert names(new.services) == ["s", "t", "u"]
+    assert names_of(new.services) == ["s", "t", "u"]
     assert new.value["limits"] == current.value["limits"]
     assert new.value["xOwner"] == "kept"
-    assert names(current.routes) == ["a", "b", "c"]
+    assert names_of(current.routes) == ["a", "b", "c"]
 
 
-def test_an_item_is_replaced_whole() -> None:
-    new = patched({"upsert": {"routes": [route(targetLatencyMs=None)]}})
+def test_an_upsert_replaces_the_whole_item() -> None:
+    new = apply({"upsert": {"routes": [route(targetLatencyMs=None)]}})
     assert new.value["routes"] == [route(targetLatencyMs=None)]
 
 
-def test_a_name_that_is_removed_and_added_is_there() -> None:
-    new = patched({"upsert": {"routes": [route(timeoutMs=9)]}, "remove": {"routes": ["r"]}})
+def test_an_item_that_is_removed_and_upserted_is_kept() -> None:
+    new = apply({"upsert": {"routes": [route(timeoutMs=9)]}, "remove": {"routes": ["r"]}})
     assert [item.timeoutMs for item in new.routes] == [9]
 
 
@@ -96,42 +96,42 @@
     "patch", [{"limits": {"idleTimeoutMs": 9}}, {"upsert": {"limits": {"idleTimeoutMs": 9}}}]
 )
 def test_limits_are_merged(patch: dict[str, Any]) -> None:
-    assert patched(patch).value["limits"] == {"maxHeaderBytes": 16384, "idleTimeoutMs": 9}
+    assert apply(patch).value["limits"] == {"maxHeaderBytes": 16384, "idleTimeoutMs": 9}
 
 
-def test_an_unknown_list_of_named_items_is_changed_by_name_too() -> None:
+def test_an_unknown_list_of_named_items_is_also_changed_by_name() -> None:
     current = document(regions=[{"name": "x"}, {"name": "y"}])
     patch = {"upsert": {"regions": [{"name": "y", "quota": 1}]}, "remove": {"regions": ["x"]}}
-    assert patched(patch, current).value["regions"] == [{"name": "y", "quota": 1}]
+    assert apply(patch, current).value["regions"] == [{"name": "y", "quota": 1}]
 
 
-def test_a_patch_adds_replaces_and_removes_tenants_by_name() -> None:
+def test_tenants_are_added_replaced_and_removed_by_name() -> None:
     current = document(tenants=[tenant("x", "k1"), tenant("y", "k2", quota=1)])
     patch = {"upsert": {"tenants": [tenant("z", "k1"), tenant("y", "k3")]}, "remove": {"tenants": ["x"]}}
-    assert patched(patch, current).value["tenants"] == [tenant("y", "k3"), tenant("z", "k1")]
+    assert apply(patch, current).value["tenants"] == [tenant("y", "k3"), tenant("z", "k1")]
 
 
 def test_a_patch_that_removes_the_last_tenant_leaves_an_empty_list() -> None:
-    new = patched({"remove": {"tenants": ["x"]}}, document(tenants=[tenant("x", "k1")]))
+    new = apply({"remove": {"tenants": ["x"]}}, document(tenants=[tenant("x", "k1")]))
     assert new.value["tenants"] == []
 
 
 def test_a_patch_may_be_the_first_change() -> None:
     body = text_of({"version": 1, "upsert": {"routes": [route()], "services": [{"name": "s"}]}})
-    assert names(prepare_patch(None, "0", body).unwrap().routes) == ["r"]
+    assert names_of(prepare_patch(None, "0", body).unwrap().routes) == ["r"]
 
 
 INVALID_PATCHES = {
-    "a route in use loses its service": ({"remove": {"services": ["s"]}}, "routes[0].targetService"),
-    "same place": ({"upsert": {"routes": [route("q", pathPrefix="/r/")]}}, "routes[1].pathPrefix"),
+    "the service of a route is removed": ({"remove": {"services": ["s"]}}, "routes[0].targetService"),
+    "duplicate prefix": ({"upsert": {"routes": [route("q", pathPrefix="/r/")]}}, "routes[1].pathPrefix"),
     "no timeout": ({"upsert": {"routes": [route("q", timeoutMs=0)]}}, "routes[1].timeoutMs"),
-    "item without name": ({"upsert": {"routes": [{"hostname": "x"}]}}, "upsert.routes[0].name"),
+    "item without a name": ({"upsert": {"routes": [{"hostname": "x"}]}}, "upsert.routes[0].name"),
     "item named twice": ({"upsert": {"routes": [route(), route()]}}, "upsert.routes[1].name"),
-    "upsert no object": ({"upsert": []}, "upsert"),
-    "upsert of no list": ({"upsert": {"routes": "r"}}, "upsert.routes"),
-    "remove of no names": ({"remove": {"routes": [1]}}, "remove.routes"),
-    "remove from no list": ({"remove": {"limits": ["x"]}}, "remove.limits"),
-    "version as text": ({"version": "9"}, "version"),
+    "upsert is not an object": ({"upsert": []}, "upsert"),
+    "upsert of a list is a string": ({"upsert": {"routes": "r"}}, "upsert.routes"),
+    "remove of a number": ({"remove": {"routes": [1]}}, "remove.routes"),
+    "remove from an object": ({"remove": {"limits": ["x"]}}, "remove.limits"),
+    "version is a string": ({"version": "9"}, "version"),
     "a key of two tenants": (
         {"upsert": {"tenants": [tenant("x", "k1"), tenant("y", "k1")]}},
         "tenants[1].apiKeys[0]",
@@ -140,18 +140,18 @@
         {"upsert": {"tenants": [tenant("x", "k1"), tenant("x", "k2")]}},
         "upsert.tenants[1].name",
     ),
-    "tenants of no list": ({"upsert": {"tenants": tenant("x", "k1")}}, "tenants"),
+    "tenants is an object": ({"upsert": {"tenants": tenant("x", "k1")}}, "tenants"),
 }
 
 
 @pytest.mark.parametrize(("patch", "path"), INVALID_PATCHES.values(), ids=INVALID_PATCHES.keys())
 def test_an_invalid_patch_is_refused(patch: dict[str, Any], path: str) -> None:
-    fault = patch_fault(patch)
+    fault = fault_of_patch(patch)
     assert (fault.code, fault.path) == (ResultCode.CONFIGURATION_INVALID, path)
 
 
-# Guards against a key that a patch gives to a second tenant while the first keeps it.
-def test_a_patch_that_adds_a_key_that_another_tenant_holds_is_refused() -> None:
+# Guards against two tenants with the same key after a patch.
+def test_a_patch_that_adds_the_key_of_another_tenant_is_refused() -> None:
     current = document(tenants=[tenant("x", "k1")])
     patch = text_of({"version": 9, "upsert": {"tenants": [tenant("y", "k1")]}})
     fault = prepare_patch(current, "7", patch).unwrap_err()
@@ -162,18 +162,18 @@
     assert prepare_patch(document(), "7", b'{"upsert":{}}').unwrap_err().path == "version"
 
 
-def test_a_patch_cut_short_is_refused() -> None:
+def test_a_truncated_patch_is_refused() -> None:
     fault = prepare_patch(document(), "7", b'{"version":9,"upsert":').unwrap_err()
     assert fault.code is ResultCode.CONFIGURATION_UNREADABLE
 
 
 @given(valid_configurations())
-def test_the_same_change_has_the_same_digest_however_it_is_written(value: dict[str, Any]) -> None:
+def test_the_digest_does_not_depend_on_key_order_and_whitespace(value: dict[str, Any]) -> None:
     shuffled = dict(reversed(value.items()))
     assert change_digest("PUT", '"6"', text_of(value)) == change_digest("put", "6", text_of(shuffled) + b" ")
 
 
-def test_other_changes_have_other_digests() -> None:
+def test_different_changes_have_different_digests() -> None:
     body = text_of(configuration())
     bodies = [
         body,
--- a/tests/system/test_configuration_diffs.py
+++ b/tests/system/test_configuration_diffs.py
@@ -1,4 +1,4 @@
-"""Deltas between configurations lead to exactly the new one."""
+"""A delta between two configurations, applied to the old one, gives exactly the new one."""
 
 from __future__ import annotations
 
@@ -52,18 +52,18 @@
     assert apply_delta(old, change).unwrap() == new
 
 
-def test_a_delta_that_would_be_longer_than_the_whole_is_the_whole() -> None:
+def test_a_delta_is_not_longer_than_the_whole_configuration() -> None:
     old = document(configuration(7, routes=[route(f"long-name-{index}") for index in range(100)]))
     new = document(configuration(9, routes=[]))
     assert len(delta(old, new)) <= len(new.to_json()) + len('{"replaceWith":}')
 
 
-def test_a_delta_that_does_not_fit_is_a_fault() -> None:
+def test_an_invalid_or_truncated_delta_is_a_fault() -> None:
     old = document(configuration(7))
     assert apply_delta(old, b'{"version":9,"remove":{"services":["s"]}}').is_err()
     assert apply_delta(old, b'{"version":').is_err()
 
 
-def test_a_number_that_only_changes_its_kind_is_a_change() -> None:
+def test_a_change_from_integer_to_float_is_a_change() -> None:
     old, new = document(configuration(7)), document(configuration(8, routes=[route(timeoutMs=5000.0)]))
     assert b"5000.0" in apply_delta(old, delta(old, new)).unwrap().to_json()
--- a/tests/system/test_configuration_routes.py
+++ b/tests/system/test_configuration_routes.py
@@ -1,4 +1,4 @@
-"""The route table: host and longest prefix, splits by weight, everything parsed can be routed."""
+"""The route table: matching by host and longest prefix, splits by weight, defaults and units."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 @given(valid_configurations(), st.sampled_from(["a.example", "b.example", "other"]), PATHS)
 def test_the_longest_prefix_of_the_host_wins(value: dict[str, Any], host: str, path: str) -> None:
     routes = RouteTable.from_document(parse_configuration(text_of(value)).unwrap())
-    fitting = [
+    matching = [
         item
         for item in value["routes"]
         if item["hostname"].lower() == host and path.startswith(item["pathPrefix"])
     ]
-    expected = max(fitting, key=lambda item: len(item["pathPrefix"]))["name"] if fitting else None
+    expected = max(matching, key=lambda item: len(item["pathPrefix"]))["name"] if matching else None
     found = routes.match(host, path)
     assert (found.name if found else None) == expected
 
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("host", ["a.example", "A.Example", "a.example:8080", "a.example.", " a.example "])
-def test_a_host_is_found_whatever_its_letters_and_port(host: str) -> None:
+def test_a_host_matches_regardless_of_case_and_port(host: str) -> None:
     assert table().match(host, "/r/x") is not None
 
 
@@ -78,11 +78,11 @@
     assert picked == {"s": 900, "t": 100}
 
 
-def test_a_service_with_weight_0_gets_nothing() -> None:
+def test_a_service_with_weight_0_gets_no_requests() -> None:
     assert {split_route(0, 3).pick_service(step / 100) for step in range(100)} == {"t"}
 
 
-def test_a_split_counts_beside_a_single_service() -> None:
+def test_a_split_takes_precedence_over_a_single_service() -> None:
     split = [{"targetService": "t", "weight": 1}]
     assert table(routes=[route(targetService="s", trafficSplit=split)]).routes[0].pick_service(0.5) == "t"
 
@@ -111,7 +111,7 @@
         ("streaming", True, True),
     ],
 )
-def test_what_may_run_more_than_once(kind: str, resumable: bool, repeatable: bool) -> None:
+def test_which_routes_are_repeatable(kind: str, resumable: bool, repeatable: bool) -> None:
     assert table(routes=[route(routeKind=kind, resumable=resumable)]).routes[0].repeatable is repeatable
 
 
