--- a/tests/system/test_explain.py
+++ b/tests/system/test_explain.py
@@ -1,4 +1,4 @@
-"""`system explain`: from trace records to causes, tables and steps."""
+"""`system explain`: causes, tables and steps from trace records."""
 
 from __future__ import annotations
 
@@ -47,18 +47,18 @@
     return json.dumps({**fields, **changed}, separators=(",", ":"))
 
 
-def only(line: str) -> LateRequest:
+def parse_request(line: str) -> LateRequest:
     (request,) = read_records([line]).requests
     return request
 
 
-LATE_SEND = ["w1", 1100, 200, 1700, 1900, "succeeded"]
+LATE_ATTEMPT = ["w1", 1100, 200, 1700, 1900, "succeeded"]
 
 
 @pytest.mark.parametrize(
     ("changed", "cause"),
     [
-        ({"missed": 0, "held": 1100, "sends": [LATE_SEND]}, Cause.MODEL_WAITED),
+        ({"missed": 0, "held": 1100, "sends": [LATE_ATTEMPT]}, Cause.MODEL_WAITED),
         ({"missed": 0, "status": 503, "code": ResultCode.MODEL_LOADING}, Cause.MODEL_REFUSED),
         ({"status": 503, "code": ResultCode.NO_WORKER}, Cause.NO_WORKER),
         ({"status": 503, "code": ResultCode.OVERLOADED}, Cause.OVERLOADED),
@@ -75,10 +75,10 @@
     ],
 )
 def test_each_request_has_one_cause(changed: dict[str, Any], cause: Cause) -> None:
-    assert cause_of(only(record(**changed))) is cause
+    assert cause_of(parse_request(record(**changed))) is cause
 
 
-def test_records_are_found_among_other_lines_and_placed_by_a_common_clock() -> None:
+def test_records_are_found_among_other_lines_and_timed_by_the_common_clock() -> None:
     lines = [
         "  34.5000 edge-1 " + record(),
         "12:00:00 INFO event=started",
@@ -91,7 +91,7 @@
     assert records.unreadable == 1
 
 
-def test_the_summary_tells_worth_by_rank_window_and_cause_and_the_steps_of_a_load() -> None:
+def test_the_summary_has_lost_value_by_priority_window_and_cause_and_the_steps_of_a_load() -> None:
     load = {
         "trace": "load",
         "node": "core-1",
@@ -107,7 +107,7 @@
         "order_to_accepted": 2,
         "accepted_to_done": 600,
     }
-    late = record(missed=0, load_known=140, held=1100, sends=[LATE_SEND])
+    late = record(missed=0, load_known=140, held=1100, sends=[LATE_ATTEMPT])
     refused = record(priority=2, status=503, code=305)
     lines = [late, refused, json.dumps(load, separators=(",", ":"))]
     text = "\n".join(summary_lines(read_records(lines), {0: Worth(3.0, 0.3), 2: Worth(1.0, 0.1)}))
@@ -118,7 +118,7 @@
     assert any("room being made until the order is sent" in row and "120" in row for row in text.split("\n"))
 
 
-def test_a_trace_that_was_in_time_is_not_notable_and_a_late_one_has_its_steps() -> None:
+def test_a_trace_is_in_time_or_late_and_records_its_steps() -> None:
     stage = Stage()
     profile = stage.request("m", objective_s=1.0)
     trace = RequestTrace(stage.now_s)
@@ -136,7 +136,7 @@
     assert fields["sends"] == [["w1", 700, 200, 1200, 1400, "succeeded"]]
 
 
-def test_records_are_bounded_in_rate_and_say_how_many_were_left_out() -> None:
+def test_records_are_limited_in_rate_and_count_the_suppressed_ones() -> None:
     now_s = [100.0]
     stream = io.StringIO()
     writer = TraceWriter("edge-1", lambda: now_s[0], stream)
@@ -149,7 +149,7 @@
     assert json.loads(lines[-1])["suppressed"] == 7
 
 
-def test_the_command_sums_a_file_up_and_refuses_what_it_can_not_read(
+def test_the_command_summarizes_a_file_and_refuses_an_unreadable_one(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = tmp_path / "edge.log"
--- a/tests/system/test_policy_options.py
+++ b/tests/system/test_policy_options.py
@@ -1,4 +1,4 @@
-"""The policy file: what is read, what is refused, and that the defaults need no file."""
+"""The policy file: reading, validation and defaults."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 """
 
 
-def figures(options: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[tuple[str, ...], Any]]:
-    """Every option with its path and default."""
+def option_defaults(options: Any, path: tuple[str, ...] = ()) -> Iterator[tuple[tuple[str, ...], Any]]:
+    """Yields every option as a pair of its path and default."""
     for item in dataclasses.fields(options):
         value = getattr(options, item.name)
         if dataclasses.is_dataclass(value):
-            yield from figures(value, (*path, item.name))
+            yield from option_defaults(value, (*path, item.name))
         else:
             yield (*path, item.name), value
 
 
 def nested(path: tuple[str, ...], value: Any) -> dict[str, Any]:
-    """A document that sets one option."""
+    """Returns a document that sets one option."""
     for name in reversed(path):
         value = {name: value}
     return value
 
 
-ALL = list(figures(PolicyOptions()))
+ALL_OPTIONS = list(option_defaults(PolicyOptions()))
 
 
 def test_without_a_file_or_with_an_empty_one_all_options_have_their_defaults(tmp_path: Path) -> None:
@@ -55,7 +55,7 @@
     assert load_policy_options(None).unwrap() == load_policy_options(str(empty)).unwrap() == PolicyOptions()
 
 
-def test_what_a_file_sets_is_taken_and_the_rest_keeps_its_default(tmp_path: Path) -> None:
+def test_options_in_a_file_are_set_and_the_others_keep_their_defaults(tmp_path: Path) -> None:
     path = tmp_path / "policy.toml"
     path.write_text("[selection]\nhomes = 0\n[placement.rooms]\nkept_ahead_s = 1.5\n", encoding="utf-8")
     options = load_policy_options(str(path)).unwrap()
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("document", "words"),
+    ("document", "message"),
     [
         ({"selection": {"home": 1}}, "selection.home: there is no such option"),
         ({"placements": {}}, "placements: there is no such option"),
@@ -77,29 +77,31 @@
         ({"placement": {"planner": {"payback_s": 0}}}, "placement.planner.payback_s: must be more than 0"),
     ],
 )
-def test_a_faulty_document_is_refused_with_the_name_of_the_option(document: Any, words: str) -> None:
-    assert words in read_policy_options(document).unwrap_err()
+def test_an_invalid_document_is_refused_with_the_name_of_the_option(document: Any, message: str) -> None:
+    assert message in read_policy_options(document).unwrap_err()
 
 
-@given(st.sampled_from(ALL))
-def test_every_option_can_be_set_to_its_default_and_none_to_a_text(
+@given(st.sampled_from(ALL_OPTIONS))
+def test_every_option_accepts_its_default_and_refuses_a_string(
     option: tuple[tuple[str, ...], Any],
 ) -> None:
     path, default = option
     assert read_policy_options(nested(path, default)).unwrap() == PolicyOptions()
-    refused = read_policy_options(nested(path, "a text")).unwrap_err()
-    assert path[-1] in refused
+    error = read_policy_options(nested(path, "a text")).unwrap_err()
+    assert path[-1] in error
 
 
-@given(st.sampled_from([path for path, default in ALL if not isinstance(default, bool | tuple)]))
-def test_no_figure_is_taken_that_is_negative_or_a_0_to_divide_by(path: tuple[str, ...]) -> None:
+@given(st.sampled_from([path for path, default in ALL_OPTIONS if not isinstance(default, bool | tuple)]))
+def test_negative_values_and_zero_divisors_are_refused(path: tuple[str, ...]) -> None:
     assert read_policy_options(nested(path, -1)).is_err()
     assert read_policy_options(nested(path, 0)).is_err() == (path[-1] in DIVISORS)
 
 
 @pytest.mark.parametrize("text", ["[selection\n", "[selection]\nhome = 1\n"])
 @pytest.mark.parametrize("program", ["edge", "control"])
-def test_a_program_with_a_faulty_policy_ends_with_one_line(program: str, text: str, tmp_path: Path) -> None:
+def test_a_program_with_an_invalid_policy_exits_with_one_line(
+    program: str, text: str, tmp_path: Path
+) -> None:
     settings = tmp_path / "boot.toml"
     settings.write_text(
         'nodeName = "n"\nipAddress = "127.0.0.1"\ninternalPorts = [7660, 7675]\nzone = "z"\n',
--- a/tests/system/test_process_signals.py
+++ b/tests/system/test_process_signals.py
@@ -1,4 +1,4 @@
-"""Signals of whole programs: a storm of them from the first moment to the last changes no decided exit."""
+"""Signal handling of whole programs: a flood of signals at any time does not change the exit code."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 from arrowfold.standins.servers import LONG, free_port
 
 ROOT = Path(__file__).parent.parent.parent
-MOMENTS_S = (0.0, 0.03, 0.1, 0.2, 0.35, 0.5, 0.8, 1.2)  # from when signals are held until the first SIGTERM
-PAUSE_S = 0.0002  # between signals of a storm
-LONGEST_STORM_S = 60.0
+# From when the program handles signals until the first SIGTERM.
+TERMINATION_DELAYS_S = (0.0, 0.03, 0.1, 0.2, 0.35, 0.5, 0.8, 1.2)
+PAUSE_S = 0.0002  # between signals of a flood
+FLOOD_TIMEOUT_S = 60.0
 Command = tuple[list[str], dict[str, str]]
 
 
@@ -68,15 +69,15 @@
 
 
 @dataclass(frozen=True)
-class StormEnd:
-    """How a program ended that was stormed: its exit code, and what it wrote on standard error."""
+class ProgramExit:
+    """Exit code (None if the program was still running) and standard error of a program."""
 
     code: int | None
     errors: str
 
 
-def _holds_or_catches_hangup(process: subprocess.Popen[str]) -> bool:
-    """Whether the program has taken SIGHUP over, by a mask or a handler; False once it ended."""
+def _handles_hangup(process: subprocess.Popen[str]) -> bool:
+    """Whether the program blocks SIGHUP or has a handler for it; False once it has ended."""
     try:
         status = Path(f"/proc/{process.pid}/status").read_text(encoding="ascii")
     except OSError:
@@ -87,8 +88,8 @@
     return any(mask & 1 << signal.SIGHUP - 1 for mask in masks)
 
 
-def _storm(command: Command, moment_s: float) -> StormEnd:
-    """Send SIGHUP all the time from the program's first moment, and all three once `moment_s` has passed."""
+def _flood_with_signals(command: Command, termination_delay_s: float) -> ProgramExit:
+    """Send SIGHUP from the time that the program handles it, and also SIGTERM and SIGINT after the delay."""
     arguments, variables = command
     environment = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
     with (
@@ -98,12 +99,12 @@
         ) as process,
     ):
         try:
-            while process.poll() is None and not _holds_or_catches_hangup(process):
+            while process.poll() is None and not _handles_hangup(process):
                 time.sleep(PAUSE_S)
-            begun_s = time.monotonic()
-            while process.poll() is None and time.monotonic() - begun_s < LONGEST_STORM_S:
+            started_s = time.monotonic()
+            while process.poll() is None and time.monotonic() - started_s < FLOOD_TIMEOUT_S:
                 process.send_signal(signal.SIGHUP)
-                if time.monotonic() - begun_s >= moment_s:
+                if time.monotonic() - started_s >= termination_delay_s:
                     process.send_signal(signal.SIGTERM)
                     process.send_signal(signal.SIGINT)
                 time.sleep(PAUSE_S)
@@ -111,50 +112,54 @@
         finally:
             process.kill()
         errors.seek(0)
-        return StormEnd(code, errors.read())
+        return ProgramExit(code, errors.read())
 
 
 @pytest.mark.parametrize("program", list(PROGRAMS))
-def test_given_a_storm_of_signals_at_any_moment_then_a_program_ends_with_success(
+def test_given_a_flood_of_signals_and_a_termination_at_any_time_then_a_program_exits_with_success(
     program: str, tmp_path: Path
 ) -> None:
-    # Given one program for each moment at which it may be told to end
-    folders = [tmp_path / str(number) for number in range(len(MOMENTS_S))]
+    # Given one program for each time of its termination
+    folders = [tmp_path / str(number) for number in range(len(TERMINATION_DELAYS_S))]
     for folder in folders:
         folder.mkdir()
     commands = [PROGRAMS[program](folder) for folder in folders]
-    # When signals never cease, from its first moment until it is gone
+    # When signals are sent without pause until it has ended
     with ThreadPoolExecutor(2) as pool:
-        ends = list(pool.map(_storm, commands, MOMENTS_S))
-    # Then each ends as if it had been told once
-    assert [end.code for end in ends] == [0] * len(MOMENTS_S), [end.errors[-600:] for end in ends]
-    assert not any("Traceback" in end.errors for end in ends)
+        exits = list(pool.map(_flood_with_signals, commands, TERMINATION_DELAYS_S))
+    # Then each exits as after a single SIGTERM
+    assert [program_exit.code for program_exit in exits] == [0] * len(TERMINATION_DELAYS_S), [
+        program_exit.errors[-600:] for program_exit in exits
+    ]
+    assert not any("Traceback" in program_exit.errors for program_exit in exits)
 
 
-def test_given_a_storm_of_signals_then_a_program_with_a_bad_file_still_says_so(tmp_path: Path) -> None:
-    # Given a program whose settings are at fault, and which decides so a moment after its start
+def test_given_a_flood_of_signals_then_a_program_with_an_invalid_file_still_exits_with_its_error(
+    tmp_path: Path,
+) -> None:
+    # Given a program with invalid settings, which it finds shortly after its start
     bad = tmp_path / "bad.toml"
     bad.write_text("nodeName = ", encoding="utf-8")
     command = [sys.executable, "-m", "arrowfold.programs.control", f"--settings={bad}"], {}
-    # When SIGHUP never ceases
-    end = _storm(command, LONGEST_STORM_S)
-    # Then its exit code is that of the fault
-    assert end.code == 2
-    assert "error 601" in end.errors
+    # When SIGHUP is sent without pause
+    program_exit = _flood_with_signals(command, FLOOD_TIMEOUT_S)
+    # Then it exits with the code for invalid settings
+    assert program_exit.code == 2
+    assert "error 601" in program_exit.errors
 
 
 LATE_SIGNAL = """
 import os, signal, sys
 
-class SendsAtTheEnd:
+class SendsSignalAtExit:
     def __del__(self, kill=os.kill, process=os.getpid(), number=signal.SIGHUP):
         kill(process, number)
 
-sends = SendsAtTheEnd()  # is cleared after the interpreter has given signals their default action back
-{taking}
+sender = SendsSignalAtExit()  # deleted after the interpreter has restored the default actions
+{handling}
 sys.exit(3)
 """
-TAKING = {
+SIGNAL_HANDLING = {
     "system": "from arrowfold.node.process_signals import ProcessSignals\nProcessSignals().guard()",
     "service": "from arrowfold.program.signals import Signals\ntaken = Signals()\ntaken.ignore_further()",
     "nothing": "signal.signal(signal.SIGHUP, lambda number, frame: None)",
@@ -162,15 +167,19 @@
 
 
 @pytest.mark.parametrize(
-    ("taking", "code"), [("system", 3), ("service", 3), ("nothing", -signal.SIGHUP)], ids=list(TAKING)
+    ("handling", "code"),
+    [("system", 3), ("service", 3), ("nothing", -signal.SIGHUP)],
+    ids=list(SIGNAL_HANDLING),
 )
-def test_given_a_signal_while_the_interpreter_ends_then_the_exit_code_stays(taking: str, code: int) -> None:
-    script = LATE_SIGNAL.format(taking=TAKING[taking])
+def test_given_a_signal_while_the_interpreter_exits_then_the_exit_code_is_unchanged(
+    handling: str, code: int
+) -> None:
+    script = LATE_SIGNAL.format(handling=SIGNAL_HANDLING[handling])
     assert subprocess.run([sys.executable, "-c", script], cwd=ROOT, timeout=LONG).returncode == code
 
 
-class _RecordingLoop:
-    """Runs what is scheduled at once, and counts it; or is closed."""
+class _ImmediateLoop:
+    """Runs callbacks at once, or raises as a closed loop does."""
 
     def __init__(self, is_closed: bool = False) -> None:
         self.is_closed = is_closed
@@ -181,7 +190,7 @@
         return callback()
 
 
-def test_given_no_open_sockets_then_a_termination_while_loading_ends_at_once() -> None:
+def test_given_no_open_sockets_then_a_termination_while_loading_exits_at_once() -> None:
     codes: list[int] = []
     signals = ProcessSignals(end_process=codes.append)
     signals.handle(signal.SIGHUP)
@@ -190,19 +199,19 @@
     assert codes == [0]
 
 
-def test_given_a_termination_then_further_ones_are_not_told() -> None:
-    told: list[str] = []
+def test_given_a_termination_then_further_ones_are_ignored() -> None:
+    calls: list[str] = []
     signals = ProcessSignals(end_process=lambda code: pytest.fail(f"ended with {code}"))
-    signals.listen(_RecordingLoop(), lambda: told.append("end"), lambda: told.append("reload"))
+    signals.listen(_ImmediateLoop(), lambda: calls.append("end"), lambda: calls.append("reload"))
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signals.handle(number)
-    assert told == ["reload", "end", "reload"]
+    assert calls == ["reload", "end", "reload"]
     age_s = signals.termination_age_s()
     assert age_s is not None and 0.0 <= age_s < LONG
 
 
-def test_given_a_closed_loop_then_signals_change_nothing() -> None:
+def test_given_a_closed_loop_then_signals_are_ignored() -> None:
     signals = ProcessSignals(end_process=lambda code: pytest.fail(f"ended with {code}"))
-    signals.listen(_RecordingLoop(is_closed=True), lambda: None, lambda: None)
+    signals.listen(_ImmediateLoop(is_closed=True), lambda: None, lambda: None)
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         signals.handle(number)
--- a/tests/system/test_result_codes.py
+++ b/tests/system/test_result_codes.py
@@ -1,4 +1,4 @@
-"""docs/result-codes.md and the enum tell the same codes."""
+"""docs/result-codes.md lists the same codes as the enum."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         assert len(meaning) > 10 and len(advice) > 3, number
 
 
-def test_codes_stand_under_the_heading_of_their_hundred() -> None:
+def test_codes_are_listed_under_the_heading_of_their_hundred() -> None:
     hundred = None
     for line in PAGE.read_text(encoding="utf-8").splitlines():
         heading = re.match(r"## (\d)xx: ", line)
--- a/tests/system/test_settings.py
+++ b/tests/system/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: every key's type is checked, and a fault names the key's path."""
+"""The settings file of a process: the types of all keys are checked, and errors name the key's path."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 """
 
 
-def read(text: str) -> NodeSettings:
+def parse(text: str) -> NodeSettings:
     return parse_settings(text, "boot.toml").unwrap()
 
 
-def test_a_file_is_read_and_what_it_leaves_out_has_defaults() -> None:
-    settings = read(SETTINGS)
+def test_a_file_is_read_and_absent_keys_have_defaults() -> None:
+    settings = parse(SETTINGS)
     assert settings.internal_address == "10.1.0.5:7660"
     assert settings.seed_internal_addresses() == ("10.1.0.38:7660", "10.2.0.30:7660")
     assert settings.zones == {"north": "wales"}
@@ -64,7 +64,7 @@
         ("[bounds]", "[[bounds]]", "bounds"),
     ],
 )
-def test_a_fault_is_one_line_with_the_path_of_the_key(before: str, after: str, path: str) -> None:
+def test_an_error_is_one_line_with_the_path_of_the_key(before: str, after: str, path: str) -> None:
     assert before in SETTINGS
     error = parse_settings(SETTINGS.replace(before, after), "boot.toml").unwrap_err()
     assert str(error).startswith(f"boot.toml: {path}: ")
--- a/tests/system/test_startup.py
+++ b/tests/system/test_startup.py
@@ -1,4 +1,4 @@
-"""Both programs: settings found and followed, one line where they can't be used, an end in order."""
+"""Startup of both programs: finding and reloading settings, errors of one line, orderly shutdown."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class RecordingNode:
-    """A node that says on which settings it was told to go on, and how it was started and stopped."""
+    """A node that records the settings that it is given, and its starts and stops."""
 
     def __init__(self) -> None:
         self.zones: list[str] = []
@@ -56,11 +56,11 @@
     return path
 
 
-def followed(file: Path, texts: list[str], signalled: bool) -> list[str]:
-    """The zones that a node was told of while the file held one text after another."""
+def zones_applied(file: Path, texts: list[str], signalled: bool) -> list[str]:
+    """Returns the zones that a node is given while the file is rewritten with each text in turn."""
     node = RecordingNode()
 
-    async def story() -> None:
+    async def scenario() -> None:
         hangup = asyncio.Event()
         task = asyncio.create_task(follow_settings(file, hangup, node.apply_settings, RateLimitedLog("n")))
         await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S / 2)
@@ -73,24 +73,24 @@
                 await asyncio.sleep(2 * SETTINGS_CHECK_INTERVAL_S)
         task.cancel()
 
-    run_virtual(story())
+    run_virtual(scenario())
     return node.zones
 
 
 @pytest.mark.parametrize("signalled", [True, False])
 def test_a_changed_file_is_applied_with_and_without_a_signal(file: Path, signalled: bool) -> None:
-    assert followed(file, [SECOND], signalled) == ["the second one"]
+    assert zones_applied(file, [SECOND], signalled) == ["the second one"]
 
 
 @pytest.mark.parametrize("signalled", [True, False])
-def test_a_bad_file_changes_nothing_and_a_good_one_after_it_does(file: Path, signalled: bool) -> None:
-    assert followed(file, [BAD, SECOND], signalled) == ["the second one"]
+def test_an_invalid_file_is_ignored_and_a_valid_one_after_it_is_applied(file: Path, signalled: bool) -> None:
+    assert zones_applied(file, [BAD, SECOND], signalled) == ["the second one"]
 
 
-def test_a_file_that_did_not_change_is_applied_on_a_signal_only(file: Path) -> None:
-    assert followed(file, [SETTINGS], signalled=True) == ["first"]
+def test_an_unchanged_file_is_applied_only_on_a_signal(file: Path) -> None:
+    assert zones_applied(file, [SETTINGS], signalled=True) == ["first"]
 
-    async def story() -> list[str]:
+    async def scenario() -> list[str]:
         node = RecordingNode()
         follower = follow_settings(file, asyncio.Event(), node.apply_settings, RateLimitedLog("n"))
         task = asyncio.create_task(follower)
@@ -98,10 +98,10 @@
         task.cancel()
         return node.zones
 
-    assert run_virtual(story()) == []
+    assert run_virtual(scenario()) == []
 
 
-def test_settings_are_found_by_name_or_by_the_environment(
+def test_settings_are_found_by_path_or_by_the_environment(
     file: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv(SETTINGS_VARIABLE, str(file))
@@ -111,8 +111,8 @@
     assert "602" in open_settings().unwrap_err()
 
 
-class SteadyClock:
-    """Stands in for the module `time`: the steady clock stands where the test puts it, in seconds."""
+class FakeMonotonicClock:
+    """Replaces the module `time`: the test sets the monotonic clock, in seconds."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -122,81 +122,81 @@
 
 
 @pytest.fixture
-def clock(monkeypatch: pytest.MonkeyPatch) -> SteadyClock:
-    steady = SteadyClock()
-    monkeypatch.setattr(process_signals, "time", steady)
-    return steady
+def clock(monkeypatch: pytest.MonkeyPatch) -> FakeMonotonicClock:
+    fake_clock = FakeMonotonicClock()
+    monkeypatch.setattr(process_signals, "time", fake_clock)
+    return fake_clock
 
 
-def test_a_node_is_started_and_stopped_in_order_by_a_signal(file: Path, clock: SteadyClock) -> None:
+def test_a_node_is_started_and_stopped_in_order_by_a_signal(file: Path, clock: FakeMonotonicClock) -> None:
     node = RecordingNode()
     signals = ProcessSignals()
 
-    def be_told_a_while_after_its_signal() -> None:
+    def receive_signal_and_advance_clock() -> None:
         signals.handle(signal.SIGTERM)
         clock.now_s += 0.25
 
-    async def story() -> None:
-        asyncio.get_running_loop().call_soon(be_told_a_while_after_its_signal)
+    async def scenario() -> None:
+        asyncio.get_running_loop().call_soon(receive_signal_and_advance_clock)
         await run_node(open_settings(str(file)).unwrap(), lambda log: node, signals)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
     assert node.calls == ["start", "stop"]
     assert node.told_ago_s == 0.25
 
 
-def test_given_a_sigterm_while_it_loads_behind_open_sockets_then_a_node_starts_and_ends_in_order(
-    file: Path, clock: SteadyClock
+def test_given_a_sigterm_while_loading_with_open_sockets_then_a_node_starts_and_stops_in_order(
+    file: Path, clock: FakeMonotonicClock
 ) -> None:
-    # Given a program whose sockets listen already, and that is told to end while it loads
+    # Given a program whose sockets already listen and that receives SIGTERM while it loads
     node = RecordingNode()
     signals = ProcessSignals(end_process=lambda code: pytest.fail(f"ended with {code}"))
     signals.defer_termination()
     signals.handle(signal.SIGTERM)
     clock.now_s += 1.5
-    # When it has loaded, and further signals have come
+    # When it has loaded, after further signals
     signals.handle(signal.SIGTERM)
     signals.handle(signal.SIGINT)
     asyncio.run(run_node(open_settings(str(file)).unwrap(), lambda log: node, signals))
-    # Then its node is started, so that what waits is answered, and knows how much of the time has passed
+    # Then its node is started, to answer pending requests, and has the time since the first signal
     assert node.calls == ["start", "stop"]
     assert node.told_ago_s == 1.5
 
 
 @pytest.mark.parametrize("program", ["edge", "control"])
 @pytest.mark.parametrize(
-    ("text", "words"), [(BAD, "error 601"), (SETTINGS.replace("nodeName", "name"), "nodeName")]
+    ("text", "message"), [(BAD, "error 601"), (SETTINGS.replace("nodeName", "name"), "nodeName")]
 )
-def test_a_program_with_a_bad_file_ends_with_one_line(
-    program: str, text: str, words: str, file: Path
+def test_a_program_with_an_invalid_file_exits_with_one_line(
+    program: str, text: str, message: str, file: Path
 ) -> None:
     file.write_text(text, encoding="utf-8")
     command = [sys.executable, "-m", f"arrowfold.programs.{program}", f"--settings={file}"]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     assert done.returncode == 2
-    assert words in done.stderr and done.stderr.count("\n") == 1
+    assert message in done.stderr and done.stderr.count("\n") == 1
 
 
-def _holds_hangup(process: subprocess.Popen[bytes]) -> bool:
-    """Whether SIGHUP is blocked in the program, to be taken by its thread of signals."""
+def _blocks_hangup(process: subprocess.Popen[bytes]) -> bool:
+    """Whether the program blocks SIGHUP, so that its signal thread receives it."""
     status = Path(f"/proc/{process.pid}/status").read_text(encoding="ascii")
     blocked = next(line for line in status.splitlines() if line.startswith("SigBlk:"))
     return bool(int(blocked.split()[1], 16) & 1 << signal.SIGHUP - 1)
 
 
 @pytest.mark.parametrize("program", ["edge", "control"])
-def test_signals_while_a_program_loads_do_not_break_it(program: str, tmp_path: Path) -> None:
-    # Given a program that loads, and then waits for its settings file
-    waits = tmp_path / "settings.toml"
-    os.mkfifo(waits)
-    command = [sys.executable, "-m", f"arrowfold.programs.{program}", f"--settings={waits}"]
+def test_signals_while_a_program_loads_are_handled(program: str, tmp_path: Path) -> None:
+    # Given a program that loads and then waits for its settings file
+    unwritten_file = tmp_path / "settings.toml"
+    os.mkfifo(unwritten_file)
+    command = [sys.executable, "-m", f"arrowfold.programs.{program}", f"--settings={unwritten_file}"]
     with subprocess.Popen(command) as process:
         try:
-            eventually(lambda: process.poll() is not None or _holds_hangup(process))
-            # When it gets SIGHUP, then it goes on
+            eventually(lambda: process.poll() is not None or _blocks_hangup(process))
+            # When it receives SIGHUP, then it continues
             process.send_signal(signal.SIGHUP)
             assert process.poll() is None
-            # And SIGTERM ends it with success
+            # And on SIGTERM it exits with success
             process.terminate()
             assert process.wait(LONG) == 0
         finally:
--- a/tests/system/test_state_commands.py
+++ b/tests/system/test_state_commands.py
@@ -1,4 +1,4 @@
-"""`arrowfold state`: a folder is shown, verified and exported without being changed."""
+"""`arrowfold state`: inspects, verifies and exports a state folder without modifying it."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     before = {path.name: path.read_bytes() for path in state_folder.iterdir()}
     assert arrowfold(["state", "inspect", str(state_folder)]) == 0
     output = capsys.readouterr().out
-    for words in ("member m1 (founder)", "promised epoch 1 to m1", "position 1.3", "version 7", "token 1"):
-        assert words in output
+    for text in ("member m1 (founder)", "promised epoch 1 to m1", "position 1.3", "version 7", "token 1"):
+        assert text in output
     assert {path.name: path.read_bytes() for path in state_folder.iterdir()} == before
 
 
@@ -39,7 +39,9 @@
     assert capsys.readouterr().out == '{"version":7}\n'
 
 
-def test_damage_is_named_with_file_and_offset(state_folder: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_damage_is_reported_with_file_and_offset(
+    state_folder: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     segment = state_folder / "segment-00000000"
     data = bytearray(segment.read_bytes())
     data[5] ^= 0xFF
@@ -49,6 +51,6 @@
 
 
 @pytest.mark.parametrize("arguments", [["state", "inspect", "/nowhere"], ["state", "burn", "/"], ["state"]])
-def test_what_cannot_be_used_is_one_line(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+def test_invalid_arguments_give_one_line(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     assert arrowfold(arguments) == 2
     assert capsys.readouterr().err.count("\n") == 1
