--- a/arrowfold/configuration/routes.py
+++ b/arrowfold/configuration/routes.py
@@ -146,7 +146,7 @@
 
         The port of the `Host` header and the query of the path are ignored.
         """
-        entry = self._routes_by_host.get(host) or self._routes_by_host.get(normal_host(host))
+        entry = self._routes_by_host.get(host) or self._routes_by_host.get(normalize_host(host))
         if entry is None:
             return None
         by_prefix, max_length = entry
@@ -160,7 +160,7 @@
         return None
 
 
-def normal_host(host: str) -> str:
+def normalize_host(host: str) -> str:
     """Normalizes a host name: lower case, without port, surrounding whitespace and trailing dot."""
     name = host.strip().lower()
     if name.startswith("["):
@@ -193,7 +193,7 @@
     objective_ms = get("targetLatencyMs")
     return Route(
         name=item["name"],
-        host=normal_host(item["hostname"]),
+        host=normalize_host(item["hostname"]),
         prefix=item["pathPrefix"],
         kind=get("routeKind", NON_IDEMPOTENT),
         timeout_s=timeout_ms / _MS_PER_S,
--- a/arrowfold/configuration/validity.py
+++ b/arrowfold/configuration/validity.py
@@ -16,7 +16,7 @@
 )
 from arrowfold.configuration.faults import ConfigurationFault
 from arrowfold.configuration.json_text import JsonObject, read_object
-from arrowfold.configuration.routes import normal_host
+from arrowfold.configuration.routes import normalize_host
 from arrowfold.node.result_codes import ResultCode
 
 MAX_QUOTED_CHARACTERS = 80  # of an operator's text in a fault
@@ -101,7 +101,7 @@
 def _duplicate_prefix(routes: list[RouteDocument]) -> ConfigurationFault | None:
     positions: dict[tuple[str, str], int] = {}
     for index, route in enumerate(routes):
-        first = positions.setdefault((normal_host(route.hostname), route.pathPrefix), index)
+        first = positions.setdefault((normalize_host(route.hostname), route.pathPrefix), index)
         if first != index:
             prefix = _quote(route.hostname + route.pathPrefix)
             return _invalid(f"routes[{index}].pathPrefix", f"{prefix} is already used by routes[{first}]")
--- a/arrowfold/explain/summary.py
+++ b/arrowfold/explain/summary.py
@@ -18,53 +18,53 @@
 class Worth:
     """The value of an answer of one priority if it is in time and if it is late."""
 
-    whole: float = 1.0
+    in_time: float = 1.0
     late: float = 0.3
 
 
-Worths = Mapping[int, Worth]  # by the route's priority
+AnswerValues = Mapping[int, Worth]  # by the route's priority
 
 
-def summary_lines(records: Records, worths: Worths) -> Iterator[str]:
+def summary_lines(records: Records, answer_values: AnswerValues) -> Iterator[str]:
     """Yields the lines of the summary."""
     yield f"{len(records.requests)} requests late, refused or failed; {len(records.unrouted)} without a route"
     if records.suppressed or records.unreadable:
         yield f"left out: {records.suppressed} records by the nodes, {records.unreadable} unreadable lines"
     yield ""
-    yield from _priority_rows(records.requests, worths)
+    yield from _priority_rows(records.requests, answer_values)
     yield ""
-    yield from _window_rows(records, worths)
+    yield from _window_rows(records, answer_values)
     yield ""
-    yield from _cause_rows(records, worths)
+    yield from _cause_rows(records, answer_values)
     yield ""
     yield from _step_rows(records)
 
 
-def lost_value(request: LateRequest, worths: Worths) -> float:
+def lost_value(request: LateRequest, answer_values: AnswerValues) -> float:
     """Returns the value that a request lost against an answer in time.
 
     A refused request that is sent again counts each time.
     """
-    worth = worths.get(request.priority, Worth())
-    return worth.whole - (worth.late if request.is_served else 0.0)
+    value = answer_values.get(request.priority, Worth())
+    return value.in_time - (value.late if request.is_served else 0.0)
 
 
-def _priority_rows(requests: tuple[LateRequest, ...], worths: Worths) -> Iterator[str]:
+def _priority_rows(requests: tuple[LateRequest, ...], answer_values: AnswerValues) -> Iterator[str]:
     yield "priority    late refused  failed   lost worth"
     for priority in sorted({request.priority for request in requests}):
         of_priority = [request for request in requests if request.priority == priority]
         refused = sum(request.status in (429, 503) for request in of_priority)
         late = sum(request.is_served for request in of_priority)
-        lost = sum(lost_value(request, worths) for request in of_priority)
+        lost = sum(lost_value(request, answer_values) for request in of_priority)
         yield f"{priority:8d} {late:7d} {refused:7d} {len(of_priority) - late - refused:7d} {lost:12.1f}"
 
 
-def _window_rows(records: Records, worths: Worths) -> Iterator[str]:
+def _window_rows(records: Records, answer_values: AnswerValues) -> Iterator[str]:
     lost: dict[int, float] = defaultdict(float)
     causes: dict[int, Counter[Cause]] = defaultdict(Counter)
     for request in records.requests:
         window = int(request.time_s // WINDOW_S) * WINDOW_S
-        lost[window] += lost_value(request, worths)
+        lost[window] += lost_value(request, answer_values)
         causes[window][cause_of(request)] += 1
     for unrouted in records.unrouted:
         causes[int(unrouted.time_s // WINDOW_S) * WINDOW_S][Cause.NO_CONFIGURATION] += 1
@@ -74,12 +74,12 @@
         yield f"{window:6d} {lost[window]:12.1f}   {named}"
 
 
-def _cause_rows(records: Records, worths: Worths) -> Iterator[str]:
+def _cause_rows(records: Records, answer_values: AnswerValues) -> Iterator[str]:
     lost: dict[Cause, float] = defaultdict(float)
     counts: Counter[tuple[Cause, int]] = Counter()
     for request in records.requests:
         cause = cause_of(request)
-        lost[cause] += lost_value(request, worths)
+        lost[cause] += lost_value(request, answer_values)
         counts[cause, request.priority] += 1
     yield "lost worth   cause (requests by priority)"
     for cause in sorted(lost, key=lambda item: -lost[item]):
--- a/arrowfold/internal/channel.py
+++ b/arrowfold/internal/channel.py
@@ -1,6 +1,7 @@
 """Calls between nodes over TCP: length-prefixed frames with a CBOR body, many calls on one connection.
 
-A call that times out closes its connection, so that the next call after a network partition connects anew.
+A call that times out closes its connection, so that the next call after a network partition opens
+a new one.
 """
 
 from __future__ import annotations
@@ -78,7 +79,7 @@
         if tasks:
             await asyncio.wait(tasks, timeout=CLOSE_TIMEOUT_S)
 
-    def is_serving(self) -> bool:
+    def has_connections(self) -> bool:
         """Whether any connection is open."""
         return bool(self._connection_tasks)
 
--- a/arrowfold/internal/dialling.py
+++ b/arrowfold/internal/dialling.py
@@ -2,7 +2,7 @@
 
 A machine that is starting drops connection requests (SYN packets) until it listens, and the kernel
 retransmits them only after a second. So the machine may accept connections while an earlier attempt still
-hangs. Each dial therefore starts further attempts beside the first one and uses the first that opens.
+hangs. Each dial therefore starts further attempts alongside the first and uses the first that opens.
 """
 
 from __future__ import annotations
--- a/arrowfold/internal/messages.py
+++ b/arrowfold/internal/messages.py
@@ -200,7 +200,7 @@
 class PullRequest:
     """Requests the updates after a version vector; a long poll of up to `wait_s` if there are none.
 
-    `known_view` is the checksum of the puller's cluster view (`view_mark`), or 0 if it has none.
+    `known_view` is the checksum of the puller's cluster view, or 0 if it has none.
     """
 
     sender: NodeIdentity
--- a/tests/system/test_channel.py
+++ b/tests/system/test_channel.py
@@ -45,10 +45,10 @@
         server, client = ChannelServer({ReadConfiguration: hang}), ChannelClient()
         await server.start(address)
         call = asyncio.create_task(client.call(address, ReadConfiguration(), TIMEOUT_S))
-        while not server.is_serving():
+        while not server.has_connections():
             await asyncio.sleep(0)
         await server.close()
-        assert not server.is_serving()
+        assert not server.has_connections()
         assert (await call).is_err()
         client.close()
 
