--- a/arrowfold/replication/batches.py
+++ b/arrowfold/replication/batches.py
@@ -12,7 +12,7 @@
 from arrowfold.replication.proposals import Decide, Proposal, ReplicationFault
 from arrowfold.replication.state import ControlState, Entry, apply_entry
 
-LARGEST_BATCH = 64  # proposals that share one sync
+MAX_BATCH_PROPOSALS = 64  # proposals that share one sync
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
         """Answer that it was not committed, or is not known to be."""
         self.settle(Err(ReplicationFault(code, text)))
 
-    def decided(self, state: ControlState) -> Proposal[Any] | None:
+    def evaluate(self, state: ControlState) -> Proposal[Any] | None:
         """The decision; None if it failed, which must not end the others."""
         try:
             return self.decide(state)
@@ -77,10 +77,10 @@
 
     def next_batch(self, state: ControlState) -> Batch:
         """Decide on the proposals that wait, each on the state that the one before leads to."""
-        taken, self._waiting = self._waiting[:LARGEST_BATCH], self._waiting[LARGEST_BATCH:]
+        taken, self._waiting = self._waiting[:MAX_BATCH_PROPOSALS], self._waiting[MAX_BATCH_PROPOSALS:]
         batch = Batch()
         for waiting in taken:
-            proposal = waiting.decided(state)
+            proposal = waiting.evaluate(state)
             if proposal is None:
                 continue
             batch.answers.append((waiting, proposal.answer))
--- a/arrowfold/replication/durable.py
+++ b/arrowfold/replication/durable.py
@@ -76,13 +76,13 @@
         self,
         decide: Callable[[MemberImage], Result[LogRecord, StorageFault]],
         timeout_s: float,
-        abandoned: Callable[[], None] | None = None,
+        on_failure: Callable[[], None] | None = None,
     ) -> Result[MemberImage, StorageFault]:
         """Write the record that `decide` makes of the image; answers once it is durable, or with why not.
 
-        `abandoned` is called when the write turns out to have failed, also after the time-out.
+        `on_failure` is called when the write turns out to have failed, also after the time-out.
         """
-        task = asyncio.create_task(self._change(decide, abandoned))
+        task = asyncio.create_task(self._change(decide, on_failure))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         try:
@@ -94,7 +94,7 @@
     async def _change(
         self,
         decide: Callable[[MemberImage], Result[LogRecord, StorageFault]],
-        abandoned: Callable[[], None] | None,
+        on_failure: Callable[[], None] | None,
     ) -> Result[MemberImage, StorageFault]:
         async with self._lock:
             decision = decide(self.image)
@@ -102,8 +102,8 @@
                 return Err(decision.err_value)
             written = await self._write([decision.ok_value])
             if isinstance(written, Err):
-                if abandoned is not None:
-                    abandoned()
+                if on_failure is not None:
+                    on_failure()
                 return Err(written.err_value)
             self.image = apply_record(self.image, decision.ok_value)
             if self._log.segment_bytes > self.compact_bytes:
--- a/arrowfold/replication/epochs.py
+++ b/arrowfold/replication/epochs.py
@@ -1,4 +1,7 @@
-"""The change of epoch: promises, the newest state, its installation, and the acceptance of the new record."""
+"""The change of epoch, run by a candidate for primary.
+
+Its steps: collect promises, fetch the newest state, install it in the new group, have the record accepted.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from result import Err, Ok, Result
 
 from arrowfold.internal.messages import MemberInfo
-from arrowfold.replication.leaving import Leavers
+from arrowfold.replication.leaving import LeavingMembers
 from arrowfold.replication.member import GroupMember
 from arrowfold.replication.messages import (
     AcceptEpoch,
@@ -33,11 +36,14 @@
 )
 from arrowfold.replication.state import ControlState
 
-LATE_ANSWER_S = 0.06  # for further answers, once those that are needed are there
+LATE_ANSWER_WAIT_S = 0.06  # further wait for promises once a quorum has answered
 
 
 class EpochFault(Exception):
-    """No new epoch; `promised` is the highest epoch met, `newest` the newest record."""
+    """The change of epoch failed.
+
+    `promised` is the highest epoch promised by any member that answered, `newest` the newest record received.
+    """
 
     def __init__(self, text: str, promised: int = 0) -> None:
         super().__init__(text)
@@ -47,34 +53,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Composition:
-    """Who is to be in the new epoch."""
+    """The members of the new epoch."""
 
     group: tuple[str, ...]
     witnesses: tuple[MemberInfo, ...]
-    copies: int  # members of the group that must store the state, at least
+    copies: int  # minimum number of group members that must store the state
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What the promises told: the newest record, whose majorities it takes, and who promised."""
+class Promises:
+    """A sufficient set of promises.
+
+    `record` is the newest record among the answers, `quorums` are the sets of voters that a new record must
+    have majorities of, and `granted` maps the identity of each member that promised to its answer.
+    """
 
     record: EpochRecord | None
     quorums: tuple[Quorum, ...]
     granted: dict[str, PrepareAnswer]
 
 
-Compose = Callable[[Found], Result[Composition, EpochFault]]
+Compose = Callable[[Promises], Result[Composition, EpochFault]]
 
 
 @dataclass(slots=True)
-class _Inquiry:
-    """The answers to one round of promises."""
+class _PrepareRound:
+    """The calls and answers of one round of promises."""
 
-    asked: dict[str, asyncio.Task[PrepareAnswer | None]] = field(default_factory=dict)
-    answers: dict[str, PrepareAnswer] = field(default_factory=dict)
+    calls: dict[str, asyncio.Task[PrepareAnswer | None]] = field(default_factory=dict)  # by address
+    answers: dict[str, PrepareAnswer] = field(default_factory=dict)  # by identity
 
     def votes(self) -> set[str]:
-        """The names of all who promised."""
+        """The voter names of all members that promised."""
         return {
             name
             for answer in self.answers.values()
@@ -83,19 +93,19 @@
         }
 
     def granted(self) -> dict[str, PrepareAnswer]:
-        """The answers of those who promised, by identity."""
+        """The answers of the members that promised, by identity."""
         return {member: answer for member, answer in self.answers.items() if answer.granted}
 
     def highest_promise(self) -> int:
-        """The highest epoch that anyone told."""
+        """The highest promised epoch among the answers."""
         return max((answer.promised for answer in self.answers.values()), default=0)
 
     def newest_record(self) -> EpochRecord | None:
-        """The newest record that anyone told."""
+        """The newest record among the answers."""
         return newest_record(answer.record for answer in self.answers.values())
 
     def is_confirmed(self, record: EpochRecord) -> bool:
-        """Whether anyone knows the record to be chosen."""
+        """Whether any member that answered knows the record to be chosen."""
         return any(
             answer.confirmed and answer.record is not None and answer.record.epoch == record.epoch
             for answer in self.answers.values()
@@ -103,28 +113,33 @@
 
 
 class EpochChange:
-    """One attempt to bring about an epoch with this member as its primary."""
+    """Runs attempts to start a new epoch with this member as its primary."""
 
-    def __init__(self, member: GroupMember, caller: Caller, seeds: tuple[str, ...], leavers: Leavers) -> None:
+    def __init__(
+        self, member: GroupMember, caller: Caller, seeds: tuple[str, ...], leavers: LeavingMembers
+    ) -> None:
         self._member = member
         self._caller = caller
         self._seeds = seeds
         self._leavers = leavers
         self._timings = member.timings
-        self._late_calls: set[asyncio.Task[Verdict | None]] = set()
+        self._open_calls: set[asyncio.Task[Verdict | None]] = set()
 
     async def run(
         self, epoch: int, compose: Compose, newcomers: Iterable[MemberInfo] = (), trial: bool = False
     ) -> Result[EpochRecord, EpochFault]:
-        """The record of the new epoch, once chosen; with `trial`, only whether promises would be given."""
-        inquiry = _Inquiry()
+        """Returns the record of the new epoch once it is chosen.
+
+        With `trial`, only checks whether enough promises would be given; no member stores anything.
+        """
+        prepare_round = _PrepareRound()
         try:
-            result = await self._attempt(epoch, compose, tuple(newcomers), trial, inquiry)
+            result = await self._attempt(epoch, compose, tuple(newcomers), trial, prepare_round)
         finally:
-            for task in inquiry.asked.values():
+            for task in prepare_round.calls.values():
                 task.cancel()
         if isinstance(result, Err):
-            result.err_value.newest = inquiry.newest_record()
+            result.err_value.newest = prepare_round.newest_record()
         return result
 
     async def _attempt(
@@ -133,72 +148,77 @@
         compose: Compose,
         newcomers: tuple[MemberInfo, ...],
         trial: bool,
-        inquiry: _Inquiry,
+        prepare_round: _PrepareRound,
     ) -> Result[EpochRecord, EpochFault]:
-        prepared = await self._prepare(epoch, inquiry, newcomers, trial)
+        prepared = await self._collect_promises(epoch, prepare_round, newcomers, trial)
         if isinstance(prepared, Err):
             return Err(prepared.err_value)
-        found = prepared.ok_value
-        composed = compose(found)
+        promises = prepared.ok_value
+        composed = compose(promises)
         if isinstance(composed, Err):
             return Err(composed.err_value)
         composition = composed.ok_value
         if trial:
-            return Ok(self._record(epoch, composition.group, composition.witnesses, found))
-        return await self._establish(epoch, found, composition)
+            return Ok(self._make_record(epoch, composition.group, composition.witnesses, promises))
+        return await self._establish(epoch, promises, composition)
 
-    def _record(
+    def _make_record(
         self,
         epoch: int,
         group: tuple[str, ...],
         witnesses: tuple[MemberInfo, ...],
-        found: Found,
+        promises: Promises,
     ) -> EpochRecord:
-        deciders = Quorum(tuple(witness.member for witness in witnesses))
-        merged = merged_quorums(found.quorums, deciders)
-        former = _former_voters(found.record, merged, deciders)
+        """The record of the new epoch; its quorums are those to be superseded, and its own witnesses."""
+        witness_quorum = Quorum(tuple(witness.member for witness in witnesses))
+        merged = merged_quorums(promises.quorums, witness_quorum)
+        former = _former_voters(promises.record, merged, witness_quorum)
         return EpochRecord(epoch, self._member.info.member, group, witnesses, merged, former)
 
     # Promises
 
-    async def _prepare(
-        self, epoch: int, inquiry: _Inquiry, newcomers: tuple[MemberInfo, ...], trial: bool
-    ) -> Result[Found, EpochFault]:
+    async def _collect_promises(
+        self, epoch: int, prepare_round: _PrepareRound, newcomers: tuple[MemberInfo, ...], trial: bool
+    ) -> Result[Promises, EpochFault]:
+        """Ask for promises until there are enough and the grace period is over, or all calls have ended.
+
+        Every record that an answer brings may name further voters, which are then asked as well.
+        """
         request = PrepareEpoch(epoch, self._member.info, trial)
-        self._ask(inquiry, request, [self._member.info.address, *self._known_addresses()])
-        self._ask(inquiry, request, [newcomer.address for newcomer in newcomers])
-        self._ask(inquiry, request, self._leavers.addresses())
-        enough_at: float | None = None
+        self._send_prepares(prepare_round, request, [self._member.info.address, *self._known_addresses()])
+        self._send_prepares(prepare_round, request, [newcomer.address for newcomer in newcomers])
+        self._send_prepares(prepare_round, request, self._leavers.addresses())
+        quorum_at: float | None = None
         while True:
-            self._collect(inquiry)
-            record = inquiry.newest_record()
+            self._collect_answers(prepare_round)
+            record = prepare_round.newest_record()
             if record is not None:
-                self._ask(inquiry, request, [voter.address for voter in record.voters()])
-            own = inquiry.answers.get(self._member.info.member)
+                self._send_prepares(prepare_round, request, [voter.address for voter in record.voters()])
+            own = prepare_round.answers.get(self._member.info.member)
             if own is not None and not own.granted:
-                return Err(EpochFault(own.reason, inquiry.highest_promise()))
-            found = self._found(inquiry)
-            waiting = [task for task in inquiry.asked.values() if not task.done()]
-            if found is not None and enough_at is None:
-                enough_at = self._member.clock()
+                return Err(EpochFault(own.reason, prepare_round.highest_promise()))
+            promises = self._evaluate_promises(prepare_round)
+            waiting = [task for task in prepare_round.calls.values() if not task.done()]
+            if promises is not None and quorum_at is None:
+                quorum_at = self._member.clock()
             if not waiting:
                 break
-            if enough_at is None:
+            if quorum_at is None:
                 await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
                 continue
-            remaining_s = enough_at + self._patience_s(record, trial) - self._member.clock()
+            remaining_s = quorum_at + self._grace_period_s(record, trial) - self._member.clock()
             if remaining_s <= 0:
                 break
             await asyncio.wait(waiting, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED)
-        if found is None:
-            return Err(EpochFault(self._shortfall(inquiry), inquiry.highest_promise()))
-        return Ok(found)
+        if promises is None:
+            return Err(EpochFault(self._describe_shortfall(prepare_round), prepare_round.highest_promise()))
+        return Ok(promises)
 
-    def _patience_s(self, record: EpochRecord | None, trial: bool) -> float:
-        """How long to wait for further answers, once those that are needed are there."""
+    def _grace_period_s(self, record: EpochRecord | None, trial: bool) -> float:
+        """How long to wait for further promises once there are enough."""
         if trial:
             return 0.0
-        return LATE_ANSWER_S if record is not None else self._timings.founding_wait_s
+        return LATE_ANSWER_WAIT_S if record is not None else self._timings.bootstrap_wait_s
 
     def _known_addresses(self) -> list[str]:
         record = self._member.image.record
@@ -206,70 +226,80 @@
             return [voter.address for voter in record.voters()]
         return list(self._seeds)
 
-    def _ask(self, inquiry: _Inquiry, request: PrepareEpoch, addresses: Iterable[str]) -> None:
+    def _send_prepares(
+        self, prepare_round: _PrepareRound, request: PrepareEpoch, addresses: Iterable[str]
+    ) -> None:
         for address in addresses:
-            if address not in inquiry.asked:
-                inquiry.asked[address] = asyncio.create_task(self._ask_one(address, request))
+            if address not in prepare_round.calls:
+                prepare_round.calls[address] = asyncio.create_task(self._send_prepare(address, request))
 
-    async def _ask_one(self, address: str, request: PrepareEpoch) -> PrepareAnswer | None:
+    async def _send_prepare(self, address: str, request: PrepareEpoch) -> PrepareAnswer | None:
         if address == self._member.info.address:
             return await self._member.prepare(request)
         answer = await self._caller.call(address, request, self._timings.durable_call_s)
-        found = answer.ok()
-        return found if isinstance(found, PrepareAnswer) else None
+        reply = answer.ok()
+        return reply if isinstance(reply, PrepareAnswer) else None
 
-    def _collect(self, inquiry: _Inquiry) -> None:
-        for task in inquiry.asked.values():
+    def _collect_answers(self, prepare_round: _PrepareRound) -> None:
+        for task in prepare_round.calls.values():
             answer = task.result() if task.done() else None
             if answer is not None:
-                inquiry.answers[answer.member.member] = answer
+                prepare_round.answers[answer.member.member] = answer
+
+    def _evaluate_promises(self, prepare_round: _PrepareRound) -> Promises | None:
+        """The promises so far if they are sufficient, else None.
 
-    def _found(self, inquiry: _Inquiry) -> Found | None:
-        """What the promises told, if they are enough."""
-        record = inquiry.newest_record()
+        Sufficient are a majority of each quorum, the candidate's own promise, and, unless this is the first
+        epoch, at least one member that holds the committed state.
+        """
+        record = prepare_round.newest_record()
         quorums: tuple[Quorum, ...]
         if record is None:
             quorums = (Quorum(tuple(SEED_PREFIX + seed for seed in self._seeds)),)
         else:
-            quorums = record.quorums[-1:] if inquiry.is_confirmed(record) else record.quorums
-        if not has_majorities(quorums, inquiry.votes()):
+            quorums = record.quorums[-1:] if prepare_round.is_confirmed(record) else record.quorums
+        if not has_majorities(quorums, prepare_round.votes()):
             return None
-        found = Found(record, quorums, inquiry.granted())
-        if self._member.info.member not in found.granted or (record is not None and not _sources(found)):
+        promises = Promises(record, quorums, prepare_round.granted())
+        if self._member.info.member not in promises.granted or (
+            record is not None and not _state_sources(promises)
+        ):
             return None
-        return found
+        return promises
 
-    def _shortfall(self, inquiry: _Inquiry) -> str:
+    def _describe_shortfall(self, prepare_round: _PrepareRound) -> str:
         reasons = [
-            f"{answer.member.name}: {answer.reason or 'promised'}" for answer in inquiry.answers.values()
+            f"{answer.member.name}: {answer.reason or 'promised'}"
+            for answer in prepare_round.answers.values()
         ]
         return f"not enough promises ({'; '.join(reasons) or 'no answers'})"
 
     # Installation and acceptance
 
     async def _establish(
-        self, epoch: int, found: Found, composition: Composition
+        self, epoch: int, promises: Promises, composition: Composition
     ) -> Result[EpochRecord, EpochFault]:
-        start = await self._starting_state(epoch, found)
+        start = await self._starting_state(epoch, promises)
         if isinstance(start, Err):
             return Err(start.err_value)
         position, state = start.ok_value
-        group = await self._install(epoch, found, composition, position, state)
+        group = await self._install(epoch, promises, composition, position, state)
         if self._member.info.member not in group:
-            return Err(EpochFault("the own disk did not take the state", epoch))
+            return Err(EpochFault("the candidate's disk did not store the state", epoch))
         if len(group) < composition.copies:
-            return Err(EpochFault(f"only {sorted(group)} took the state", epoch))
+            return Err(EpochFault(f"only {sorted(group)} stored the state", epoch))
         members = tuple(member for member in composition.group if member in group)
-        record = self._record(epoch, members, composition.witnesses, found)
-        return await self._accept(record, found)
+        record = self._make_record(epoch, members, composition.witnesses, promises)
+        return await self._accept(record, promises)
 
     async def _starting_state(
-        self, epoch: int, found: Found
+        self, epoch: int, promises: Promises
     ) -> Result[tuple[Position, ControlState], EpochFault]:
+        """The newest state among the members that promised, and its position; fetched if not held here."""
         own = self._member.image
-        if found.record is None:
+        if promises.record is None:
             return Ok((Position(), ControlState()))
-        source = max(_sources(found), key=lambda answer: answer.position.key())
+        source = max(_state_sources(promises), key=lambda answer: answer.position.key())
         if source.position == own.position:
             return Ok((own.position, own.state))
         answer = await self._caller.call(
@@ -277,23 +307,23 @@
         )
         image = answer.ok()
         if not isinstance(image, StateImage) or image.epoch != epoch:
-            return Err(EpochFault(f"{source.member.name} did not hand over its state", epoch))
+            return Err(EpochFault(f"{source.member.name} did not send its state", epoch))
         return Ok((Position(image.position_epoch, image.state.sequence), image.state))
 
     async def _install(
         self,
         epoch: int,
-        found: Found,
+        promises: Promises,
         composition: Composition,
         position: Position,
         state: ControlState,
     ) -> set[str]:
-        """Who of the new group has stored the state."""
+        """Install the state in the new group; returns the identities of the members that stored it."""
 
         async def install_at(member: str) -> str | None:
-            answer = found.granted[member]
-            held = answer.position == position
-            request = InstallState(epoch, self._member.info.member, position, None if held else state)
+            answer = promises.granted[member]
+            has_state = answer.position == position
+            request = InstallState(epoch, self._member.info.member, position, None if has_state else state)
             verdict = await self._durable_call(answer.member.address, request, self._member.install)
             return member if verdict is not None and verdict.done else None
 
@@ -303,18 +333,20 @@
     async def _durable_call(
         self, address: str, request: object, local: Callable[..., Awaitable[Verdict]]
     ) -> Verdict | None:
+        """Call a member whose answer needs a disk write; `local` handles a call to this member itself."""
         if address == self._member.info.address:
             return await local(request)
         answer = await self._caller.call(address, request, self._timings.durable_call_s)
         verdict = answer.ok()
         return verdict if isinstance(verdict, Verdict) else None
 
-    async def _accept(self, record: EpochRecord, found: Found) -> Result[EpochRecord, EpochFault]:
+    async def _accept(self, record: EpochRecord, promises: Promises) -> Result[EpochRecord, EpochFault]:
+        """Propose the record to all known members; returns it once a majority of each quorum accepted it."""
         addresses = {voter.member: voter.address for voter in record.voters()}
         known = self._member.image.record
         for witness in known.witnesses if known is not None else ():
             addresses.setdefault(witness.member, witness.address)
-        for member, answer in found.granted.items():
+        for member, answer in promises.granted.items():
             addresses.setdefault(member, answer.member.address)
         tasks = {
             asyncio.create_task(self._durable_call(address, AcceptEpoch(record), self._member.accept)): member
@@ -322,43 +354,43 @@
         }
         votes: set[str] = set()
         waiting = set(tasks)
-        for task in tasks:  # those that come late bring the record to the rest
-            self._late_calls.add(task)
-            task.add_done_callback(self._late_calls.discard)
+        for task in tasks:  # calls that are still open when the record is chosen go on to deliver it
+            self._open_calls.add(task)
+            task.add_done_callback(self._open_calls.discard)
         while waiting:
             done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 verdict = task.result()
                 if verdict is not None and verdict.done:
-                    votes |= _vote_names(found, tasks[task])
+                    votes |= _vote_names(promises, tasks[task])
             if self._member.info.member in votes and has_majorities(record.quorums, votes):
                 return Ok(record)
         return Err(EpochFault("the record was not accepted by enough witnesses", record.epoch))
 
 
 def _former_voters(
-    superseded: EpochRecord | None, quorums: tuple[Quorum, ...], deciders: Quorum
+    superseded: EpochRecord | None, quorums: tuple[Quorum, ...], witness_quorum: Quorum
 ) -> tuple[MemberInfo, ...]:
-    """The voters of the sets that a new record takes over, but for its witnesses."""
+    """The voters of the quorums that a new record inherits, except its own witnesses."""
     if superseded is None:
         return ()
-    names = {voter for quorum in quorums for voter in quorum.voters if voter not in deciders.voters}
+    names = {voter for quorum in quorums for voter in quorum.voters if voter not in witness_quorum.voters}
     return tuple(voter for voter in superseded.voters() if voter.member in names)
 
 
-def _vote_names(found: Found, member: str) -> set[str]:
-    """Under which names an acceptance by this member counts."""
-    answer = found.granted.get(member)
+def _vote_names(promises: Promises, member: str) -> set[str]:
+    """The voter names under which an acceptance by this member counts."""
+    answer = promises.granted.get(member)
     return set(voter_names(answer.member, answer.founder)) if answer is not None else {member}
 
 
-def _sources(found: Found) -> list[PrepareAnswer]:
-    """The members that hold everything that may have been committed under the newest record."""
-    record = found.record
+def _state_sources(promises: Promises) -> list[PrepareAnswer]:
+    """The answers of members that hold every entry that may have been committed under the newest record."""
+    record = promises.record
     if record is None:
         return []
     return [
         answer
-        for member, answer in found.granted.items()
+        for member, answer in promises.granted.items()
         if member in record.group and answer.state_epoch >= record.epoch
     ]
--- a/arrowfold/replication/founding_anew.py
+++ b/arrowfold/replication/founding_anew.py
@@ -22,7 +22,7 @@
 from arrowfold.storage.log import SegmentedLog
 
 EXPORT_VERSION = 1
-JUMP = 1_000_000  # epochs, log positions and fencing tokens beyond those of the exported state
+RECOVERY_OFFSET = 1_000_000  # epochs, log positions and fencing tokens beyond those of the exported state
 
 
 @message(57)
@@ -54,9 +54,9 @@
     return Ok(exported)
 
 
-def _raised(state: ControlState) -> ControlState:
+def _advance_beyond_lost_group(state: ControlState) -> ControlState:
     """The same contents at a position and token beyond the lost group's; every puller is told all of it."""
-    sequence = state.sequence + JUMP
+    sequence = state.sequence + RECOVERY_OFFSET
     return replace(
         state,
         sequence=sequence,
@@ -65,14 +65,14 @@
             instance: replace(departure, sequence=sequence)
             for instance, departure in state.departures.items()
         },
-        last_token=state.last_token + JUMP,
+        last_token=state.last_token + RECOVERY_OFFSET,
         patches=(),
     )
 
 
-def founding_image(exported: ExportedState, founder: MemberInfo) -> MemberImage:
+def bootstrap_image(exported: ExportedState, founder: MemberInfo) -> MemberImage:
     """The image of the first member of the new group: its only voter, until others join it."""
-    epoch = exported.epoch + JUMP
+    epoch = exported.epoch + RECOVERY_OFFSET
     record = EpochRecord(epoch, founder.member, (founder.member,), (founder,), (Quorum((founder.member,)),))
     return MemberImage(
         promised=epoch,
@@ -81,7 +81,7 @@
         confirmed=True,
         state_epoch=epoch,
         position_epoch=epoch,
-        state=_raised(exported.state),
+        state=_advance_beyond_lost_group(exported.state),
     )
 
 
@@ -94,7 +94,7 @@
     """
     if folder.names():
         return Err(StorageFault("the folder is not empty: move away what it holds, it may be needed"))
-    image = founding_image(exported, founder)
+    image = bootstrap_image(exported, founder)
     log = SegmentedLog(folder)
     log.recover()
     log.compact(encode(image))
--- a/arrowfold/replication/joining.py
+++ b/arrowfold/replication/joining.py
@@ -23,7 +23,7 @@
         self._caller = caller
         self._clock = clock
         self._timings = timings
-        self._heard_of: EpochRecord | None = None
+        self._newest_received: EpochRecord | None = None
         self._next_join = 0.0
         self._next_introduction = 0.0
         self._calls: set[asyncio.Task[None]] = set()
@@ -31,11 +31,11 @@
 
     def newest(self, accepted: EpochRecord | None) -> EpochRecord | None:
         """The newest record that this member accepted, or was told of."""
-        return newest_record((accepted, self._heard_of))
+        return newest_record((accepted, self._newest_received))
 
     def note(self, record: EpochRecord | None) -> None:
         """Take a record that somebody told."""
-        self._heard_of = newest_record((self._heard_of, record))
+        self._newest_received = newest_record((self._newest_received, record))
 
     def ask_to_join(self, accepted: EpochRecord | None) -> None:
         """Ask everyone known to be taken in, now and then."""
--- a/arrowfold/replication/leaving.py
+++ b/arrowfold/replication/leaving.py
@@ -8,7 +8,7 @@
 from arrowfold.replication.timings import Timings
 
 
-class Leavers:
+class LeavingMembers:
     """Members that were told to end and wait to be released, as their requests told."""
 
     def __init__(self, clock: Clock, timings: Timings) -> None:
--- a/arrowfold/replication/member.py
+++ b/arrowfold/replication/member.py
@@ -1,6 +1,6 @@
-"""A member's part in epochs: promises, accepted records, installed states, appended entries.
+"""The witness and backup side of replication: promises, accepted records, installed states, log entries.
 
-Everything here answers a message. What an answer claims is on the disk before it is given.
+Each method handles one message. Whatever an answer claims is durable on disk before the answer is returned.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 from arrowfold.replication.timings import Timings
 from arrowfold.storage.faults import StorageFault
 
-TOLD_CLOCKS = 32
+SENT_CLOCKS_KEPT = 32
 Decision = Result[LogRecord, StorageFault]
 
 
@@ -49,7 +49,10 @@
 
 
 class GroupMember:
-    """Witness and, where the record has it in the group, backup."""
+    """State of one member as a witness and, if the current record lists it in the group, as a backup.
+
+    All times are seconds by this member's own steady clock.
+    """
 
     def __init__(
         self,
@@ -66,59 +69,60 @@
         self.timings = timings
         self.clock = clock
         self._log = log
-        self._promising = 0  # the epoch of a promise that is being written
-        # A lease may have been granted just before the process ended: it is waited out.
-        # It can only be that of the record's primary, since no other epoch's heartbeats are granted.
+        self._promising = 0  # epoch of a promise whose write is in progress
+        # A lease may have been granted just before the last process ended, so it is assumed to be held.
+        # Only the primary of the stored record can hold it: heartbeats of other epochs are not granted.
         record = durable.image.record
         self._lease_until = clock() + timings.lease_s if record is not None else 0.0
         self._lease_holder = record.primary if record is not None else ""
-        self.yielded_at = -math.inf  # when this member last promised an epoch to another
-        self.heard_at = clock()  # when the primary's last heartbeat came
-        self.heard_in_this_life = False  # whether any heartbeat came since the start
-        self.committed_known = -1  # how far the primary's last message said that the log is committed
-        self._handed_over = 0  # the epoch whose primary handed its lease over: late heartbeats grant nothing
+        self.last_promise_to_other_at = -math.inf
+        self.primary_seen_at = clock()  # time of the last sign of the primary; starts the election timeout
+        self.has_received_heartbeat = False  # since the start of this process
+        self.known_committed = -1  # committed sequence in the primary's last message; -1 if unknown
+        self._handed_over_epoch = 0  # its primary released the lease, so its late heartbeats are not granted
         self._authority_until = 0.0
         self._current_until = 0.0
-        self._vouched_at = -math.inf  # the newest own clock reading that came back with a committed position
-        self._vouched_position = 0  # and that position
-        # Readings of the own clock told in this life: an echo of an earlier life's clock extends nothing.
-        self._told_clocks: deque[float] = deque(maxlen=TOLD_CLOCKS)
+        self._newest_echo = -math.inf  # newest reading of the own clock that the primary has echoed
+        self._committed_at_echo = 0  # committed sequence that came with this echo
+        # Clock readings sent by this process: an echo of a reading from before a restart extends nothing.
+        self._sent_clocks: deque[float] = deque(maxlen=SENT_CLOCKS_KEPT)
         self.published = ControlState()
         self.on_change: Callable[[], None] = lambda: None
 
     @property
     def image(self) -> MemberImage:
-        """What is on the disk."""
+        """The persisted state of this member."""
         return self.durable.image
 
     @property
     def highest_epoch(self) -> int:
-        """The highest epoch promised, or being promised."""
+        """The highest epoch that is promised, or whose promise is being written."""
         return max(self.image.promised, self._promising)
 
     def is_witness(self) -> bool:
-        """Whether the newest record known has this member among its witnesses."""
+        """Whether the newest accepted record lists this member as a witness."""
         record = self.image.record
         return record is not None and record.find(self.info.member) is not None
 
     def grant_lease(self, holder: str) -> None:
-        """Promise nothing to others for the length of a lease."""
+        """Refuse promises to candidates other than `holder` for `lease_s`."""
         self._lease_until = self.clock() + self.timings.lease_s
         self._lease_holder = holder
 
     def authority_until(self) -> float:
-        """Until when this member, not the primary, may act under a role that it holds."""
+        """When this member's authority to act under its roles ends, while it is not the primary."""
         return self._authority_until
 
-    def _refusal(self, request: PrepareEpoch) -> str | None:
+    def _refusal_reason(self, request: PrepareEpoch) -> str | None:
+        """The reason for which a promise is refused, or None if it can be given."""
         image = self.image
-        again = request.epoch == image.promised and request.candidate.member == image.promised_to
-        if request.epoch <= self.highest_epoch and not again:
+        is_repeat = request.epoch == image.promised and request.candidate.member == image.promised_to
+        if request.epoch <= self.highest_epoch and not is_repeat:
             return f"epoch {self.highest_epoch} is promised"
         if self.clock() < self._lease_until and self._lease_holder != request.candidate.member:
-            return f"the lease of {self._lease_holder} holds"
+            return f"the lease of {self._lease_holder} has not expired"
         if not self.durable.is_healthy(self.timings.disk_s):
-            return "the disk is in trouble"
+            return "the disk is unhealthy"
         return None
 
     def _prepare_answer(self, reason: str | None) -> PrepareAnswer:
@@ -136,54 +140,57 @@
         )
 
     async def prepare(self, request: PrepareEpoch) -> PrepareAnswer:
-        """Promise an epoch to a candidate, or say why not."""
-        reason = self._refusal(request)
+        """Promise an epoch to a candidate, or answer with the reason for the refusal.
+
+        A trial request is answered without recording a promise.
+        """
+        reason = self._refusal_reason(request)
         if reason is not None or request.trial:
             return self._prepare_answer(reason)
 
         def decide(image: MemberImage) -> Decision:
-            again = request.epoch == image.promised and request.candidate.member == image.promised_to
-            if request.epoch <= image.promised and not again:
+            is_repeat = request.epoch == image.promised and request.candidate.member == image.promised_to
+            if request.epoch <= image.promised and not is_repeat:
                 return _refuse(f"epoch {image.promised} is promised")
             return Ok(PromiseStored(request.epoch, request.candidate.member))
 
-        def abandoned() -> None:
+        def on_failure() -> None:
             if self._promising == request.epoch:
                 self._promising = 0
 
         if request.candidate.member != self.info.member:
-            self.yielded_at = self.clock()
+            self.last_promise_to_other_at = self.clock()
         self._promising = request.epoch
-        written = await self.durable.change(decide, self.timings.disk_s, abandoned)
+        written = await self.durable.change(decide, self.timings.disk_s, on_failure)
         return self._prepare_answer(str(written.err_value) if isinstance(written, Err) else None)
 
     async def fetch(self, request: FetchState) -> StateImage:
-        """The whole stored state, for the candidate of the epoch that this member promised."""
+        """Returns the stored state to the candidate of the promised epoch; raises StorageFault for others."""
         image = self.image
         if request.epoch != image.promised:
             raise StorageFault(f"epoch {image.promised} is promised")
         return StateImage(image.promised, image.state_epoch, image.position_epoch, image.state)
 
-    async def _durably(self, decide: Callable[[MemberImage], Decision]) -> Verdict:
+    async def _write_durably(self, decide: Callable[[MemberImage], Decision]) -> Verdict:
         written = await self.durable.change(decide, self.timings.disk_s)
         if isinstance(written, Err):
             return Verdict(False, self.highest_epoch, str(written.err_value))
         return Verdict(True, self.highest_epoch)
 
     async def install(self, request: InstallState) -> Verdict:
-        """Store the state with which the promised epoch starts."""
+        """Store the initial state of the promised epoch."""
 
         def decide(image: MemberImage) -> Decision:
             if (image.promised, image.promised_to) != (request.epoch, request.candidate):
                 return _refuse(f"epoch {image.promised} is promised to {image.promised_to}")
             if request.state is None and image.position != request.position:
-                return _refuse(f"the state here is at {image.position}")
+                return _refuse(f"the stored state is at {image.position}")
             return Ok(StateInstalled(request.epoch, request.position.epoch, request.state))
 
-        return await self._durably(decide)
+        return await self._write_durably(decide)
 
     async def accept(self, request: AcceptEpoch) -> Verdict:
-        """Accept the record of an epoch, and grant its primary a lease."""
+        """Accept the record of an epoch and grant its primary a lease."""
         record = request.record
 
         def decide(image: MemberImage) -> Decision:
@@ -191,53 +198,53 @@
                 return _refuse(f"epoch {image.promised} is promised")
             if record.epoch == image.promised and record.primary != image.promised_to:
                 return _refuse(f"epoch {image.promised} is promised to {image.promised_to}")
-            self.grant_lease(record.primary)  # before the write, so that no promise slips in beside it
+            self.grant_lease(record.primary)  # before the write, so that no other promise is given meanwhile
             return Ok(RecordAccepted(record))
 
         known = self.image.record
         if known is not None and known.epoch == record.epoch and self.highest_epoch == record.epoch:
             verdict = Verdict(True, self.highest_epoch)
         else:
-            verdict = await self._durably(decide)
+            verdict = await self._write_durably(decide)
         if known is None or known.epoch != record.epoch:
-            self.committed_known = -1  # the new primary has not told yet how far its log is committed
+            self.known_committed = -1  # the new primary has not yet sent its committed sequence
         if verdict.done and self.highest_epoch == record.epoch:
             self.grant_lease(record.primary)
-            self.heard_at = self.clock()
+            self.primary_seen_at = self.clock()
             self.on_change()
         return verdict
 
     async def append(self, request: AppendEntries) -> Verdict:
-        """Store the primary's entries."""
-        self._learn_committed(request.epoch, request.committed)
+        """Append the primary's entries to the log."""
+        self._update_committed(request.epoch, request.committed)
 
         def decide(image: MemberImage) -> Decision:
             record = image.record
             if record is None or record.epoch != request.epoch or self.highest_epoch != request.epoch:
                 return _refuse(f"epoch {self.highest_epoch} is promised")
             if image.state_epoch != request.epoch or image.position != request.previous:
-                return _refuse(f"the state here is at {image.position}")
+                return _refuse(f"the stored state is at {image.position}")
             return Ok(EntriesAppended(request.epoch, request.entries))
 
-        return await self._durably(decide)
+        return await self._write_durably(decide)
 
     async def heartbeat(self, request: Heartbeat) -> HeartbeatAnswer:
-        """Grant the primary its lease, if its record is accepted here and no higher epoch is promised."""
+        """Renew the primary's lease if its record is accepted here and no higher epoch is promised."""
         now = self.clock()
         image = self.image
-        leads = request.epoch >= self.highest_epoch and request.epoch != self._handed_over
-        granted = leads and image.record is not None and image.record.epoch == request.epoch
-        if leads:
-            self.heard_at = now
-            self.heard_in_this_life = True
+        is_from_primary = request.epoch >= self.highest_epoch and request.epoch != self._handed_over_epoch
+        granted = is_from_primary and image.record is not None and image.record.epoch == request.epoch
+        if is_from_primary:
+            self.primary_seen_at = now
+            self.has_received_heartbeat = True
         if granted:
             self.grant_lease(request.primary.member)
-            if request.echo is not None and request.echo in self._told_clocks:
+            if request.echo is not None and request.echo in self._sent_clocks:
                 self._authority_until = request.echo + self.timings.lease_s
                 self._current_until = request.echo + self.timings.current_s
-                self._note_vouched(request.echo, request.committed)
-            self._learn_committed(request.epoch, request.committed)
-        self._told_clocks.append(now)
+                self._note_echo(request.echo, request.committed)
+            self._update_committed(request.epoch, request.committed)
+        self._sent_clocks.append(now)
         return HeartbeatAnswer(
             granted=granted,
             member=self.info,
@@ -250,59 +257,61 @@
             confirmed_epoch=self.durable.confirmed_epoch,
         )
 
-    def _note_vouched(self, echo: float, committed: int) -> None:
-        """The primary had its lease, and its log was committed so far, when it sent this reading back."""
-        if echo > self._vouched_at:
-            self._vouched_at, self._vouched_position = echo, committed
+    def _note_echo(self, echo: float, committed: int) -> None:
+        """Record that the primary held its lease and had committed up to `committed` when it sent `echo`."""
+        if echo > self._newest_echo:
+            self._newest_echo, self._committed_at_echo = echo, committed
 
-    def _learn_committed(self, epoch: int, committed: int) -> None:
-        """Publish the stored state if the active primary of its epoch says that all of it is committed."""
+    def _update_committed(self, epoch: int, committed: int) -> None:
+        """Record the primary's committed sequence; publish the stored state if all of it is committed."""
         image = self.image
         if image.record is None or image.record.epoch != epoch or self.highest_epoch != epoch:
             return
         if not image.confirmed:
             self.durable.note(RecordConfirmed(epoch))
-        self.committed_known = committed
+        self.known_committed = committed
         if image.state_epoch == epoch and image.state.sequence == committed:
             self.publish(image.state)
 
     def publish(self, state: ControlState) -> None:
-        """Make a committed state visible to readers; it never goes back."""
+        """Make a committed state visible to readers; an older state never replaces a newer one."""
         if state.sequence > self.published.sequence:
             self.published = state
             self.on_change()
 
     def is_current(self) -> bool:
-        """Whether the primary said lately that the published state is all that is committed.
+        """Whether the primary recently confirmed that the published state is the whole committed state.
 
-        The time runs from this member's own clock reading that the primary sent back: a heartbeat that was
-        long on its way, or lay in a buffer while this process stood still, makes nothing current.
+        The time limit counts from this member's own clock reading that the primary echoed. A heartbeat that
+        was delayed in the network, or buffered while this process was paused, therefore does not make the
+        state current.
         """
         record = self.image.record
         return (
             record is not None
             and self.clock() < self._current_until
             and self.image.state_epoch == record.epoch
-            and self.published.sequence == self.committed_known
+            and self.published.sequence == self.known_committed
         )
 
     def state_age_s(self) -> float | None:
-        """The published state holds all that was acknowledged so many seconds ago; None if not current.
+        """Age bound of the published state in seconds; None if the state is not current.
 
-        What was acknowledged before the own clock reading that came back was acknowledged before the primary
-        sent it back. It held its lease then, so nobody else had acknowledged anything that its log lacked;
-        and it read the committed position in the same step, which it moves before it acknowledges.
+        The published state contains every change acknowledged at least this long ago. A change acknowledged
+        before the echoed clock reading was taken was acknowledged before the primary sent the echo. The
+        primary held its lease then, so no other primary had acknowledged a change missing from its log. It
+        read the committed sequence in the same step, and it advances that before it acknowledges a change.
         """
-        if not self.is_current() or self.published.sequence < self._vouched_position:
+        if not self.is_current() or self.published.sequence < self._committed_at_echo:
             return None
-        return self.clock() - self._vouched_at
+        return self.clock() - self._newest_echo
 
-    def departing(self, request: Departing) -> None:
-        """The primary hands its lease over: another member may stand at once, with this one's promise."""
+    def handle_departing(self, request: Departing) -> None:
+        """Release the lease of a primary that hands over, so that an election can start at once."""
         record = self.image.record
         if record is not None and request.was_primary and request.epoch == record.epoch:
             if self._lease_holder == request.member:
                 self._lease_until = 0.0
-            self._handed_over = request.epoch
-            self.heard_at = self.clock() - self.timings.suspicion_s
+            self._handed_over_epoch = request.epoch
+            self.primary_seen_at = self.clock() - self.timings.election_timeout_s
             self._log.info("primary.handed_over", epoch=request.epoch, member=request.member)
--- a/arrowfold/replication/membership.py
+++ b/arrowfold/replication/membership.py
@@ -13,13 +13,13 @@
 class PeerView:
     """What the primary sees of one witness.
 
-    `silence_s`: since its last answer; `healthy`: its disk takes writes; `rested`: it was not left out
+    `silence_s`: since its last answer; `healthy`: its disk takes writes; `can_rejoin`: it was not left out
     lately; `leaving`: it was told to end and asked to be removed.
     """
 
     silence_s: float
     healthy: bool
-    rested: bool = True
+    can_rejoin: bool = True
     leaving: bool = False
 
 
@@ -31,14 +31,14 @@
     witnesses: tuple[MemberInfo, ...]
 
 
-def copies_required(machine_losses: int, witnesses: int) -> int:
+def copies_required(tolerated_losses: int, witnesses: int) -> int:
     """On how many disks a change must be: one more than may be lost, or all where there are fewer."""
-    return min(machine_losses + 1, max(1, witnesses))
+    return min(tolerated_losses + 1, max(1, witnesses))
 
 
-def witnesses_required(machine_losses: int) -> int:
+def witnesses_required(tolerated_losses: int) -> int:
     """How many voters there must be so that a majority is left after the losses to be borne."""
-    return 2 * machine_losses + 1
+    return 2 * tolerated_losses + 1
 
 
 def _next_witnesses(
@@ -46,7 +46,7 @@
     primary: str,
     peers: dict[str, PeerView],
     newcomers: tuple[MemberInfo, ...],
-    machine_losses: int,
+    tolerated_losses: int,
     timings: Timings,
 ) -> tuple[MemberInfo, ...]:
     new = [newcomer for newcomer in newcomers if record.find(newcomer.member) is None]
@@ -54,23 +54,21 @@
     # A new identity at an old address: that machine lost its disk, and the old identity will not come back.
     witnesses = [*(witness for witness in record.witnesses if witness.address not in addresses), *new]
     old = [witness for witness in witnesses if witness.member in peers and witness.member != primary]
-    silent = [witness for witness in old if peers[witness.member].silence_s > timings.replaced_s]
-    silent.sort(key=lambda witness: peers[witness.member].silence_s, reverse=True)
+    unresponsive = [witness for witness in old if peers[witness.member].silence_s > timings.removal_timeout_s]
+    unresponsive.sort(key=lambda witness: peers[witness.member].silence_s, reverse=True)
     leaving = [witness for witness in old if peers[witness.member].leaving]
     # Those that leave go first: they may never come back, but a silent one may, with its disk.
-    for witness in dict.fromkeys((*leaving, *silent)):
-        if len(witnesses) > witnesses_required(machine_losses):
+    for witness in dict.fromkeys((*leaving, *unresponsive)):
+        if len(witnesses) > witnesses_required(tolerated_losses):
             witnesses.remove(witness)
     return tuple(witnesses)
 
 
-def _without_leaving(
-    group: tuple[str, ...], peers: dict[str, PeerView], least_copies: int
-) -> tuple[str, ...]:
+def _exclude_leaving(group: tuple[str, ...], peers: dict[str, PeerView], min_copies: int) -> tuple[str, ...]:
     """The group less those that leave, one after the other as long as enough copies remain."""
     remaining = list(group)
     for member in group:
-        if member in peers and peers[member].leaving and len(remaining) > least_copies:
+        if member in peers and peers[member].leaving and len(remaining) > min_copies:
             remaining.remove(member)
     return tuple(remaining)
 
@@ -80,11 +78,11 @@
     primary: str,
     peers: dict[str, PeerView],
     newcomers: tuple[MemberInfo, ...],
-    machine_losses: int,
+    tolerated_losses: int,
     timings: Timings,
 ) -> Membership:
     """The witnesses and the group that the primary wants; equal to the record's if all is well."""
-    witnesses = _next_witnesses(record, primary, peers, newcomers, machine_losses, timings)
+    witnesses = _next_witnesses(record, primary, peers, newcomers, tolerated_losses, timings)
     arriving = {newcomer.member for newcomer in newcomers}
 
     def belongs(member: str) -> bool:
@@ -93,8 +91,8 @@
         peer = peers.get(member)
         if peer is None or not peer.healthy or peer.silence_s > timings.silent_s:
             return False
-        return member in record.group or peer.rested
+        return member in record.group or peer.can_rejoin
 
     group = tuple(witness.member for witness in witnesses if belongs(witness.member))
-    least_copies = copies_required(machine_losses, len(witnesses))
-    return Membership(_without_leaving(group, peers, least_copies), witnesses)
+    min_copies = copies_required(tolerated_losses, len(witnesses))
+    return Membership(_exclude_leaving(group, peers, min_copies), witnesses)
--- a/arrowfold/replication/peers.py
+++ b/arrowfold/replication/peers.py
@@ -22,13 +22,13 @@
     granted_at: float = -math.inf  # when the last heartbeat was sent that it answered with a grant
     clock: float | None = None  # its own clock reading in its last answer
     healthy: bool = True
-    left_out_at: float = -math.inf  # when it last left the group
+    excluded_at: float = -math.inf  # when it last left the group
     echoed_at: float = -math.inf  # when its authority was last extended
     leaving_at: float = -math.inf  # when it last asked to be removed
     confirmed_epoch: int = 0  # the highest epoch whose record is known, on its disk, to be chosen
-    calling: bool = False  # a heartbeat to it is under way
+    heartbeat_in_flight: bool = False  # a heartbeat to it is under way
 
-    def answered(self, now: float, answer: HeartbeatAnswer) -> None:
+    def record_answer(self, now: float, answer: HeartbeatAnswer) -> None:
         """Take what it said of itself."""
         self.answered_at = now
         self.healthy = answer.disk_healthy
@@ -68,7 +68,7 @@
         peer = self._peers.get(member)
         return -math.inf if peer is None else peer.granted_at
 
-    def asks_to_leave(self, member: str) -> None:
+    def note_leaving(self, member: str) -> None:
         """A member was told to end: it still votes and answers, but holds no roles from now on."""
         self.get(member).leaving_at = self._clock()
 
@@ -77,7 +77,7 @@
         peer = self._peers.get(member)
         return peer is not None and self._clock() - peer.leaving_at <= self._timings.leaving_s
 
-    def confirmed_on(self, record: EpochRecord) -> int:
+    def count_confirmed(self, record: EpochRecord) -> int:
         """On how many disks of other witnesses that stay the record is known to be chosen."""
         return sum(
             self.get(member).confirmed_epoch >= record.epoch and not self.is_leaving(member)
@@ -85,7 +85,7 @@
             if member != self._own
         )
 
-    def is_fit(self, record: EpochRecord, member: str) -> bool:
+    def is_eligible(self, record: EpochRecord, member: str) -> bool:
         """Whether a member may hold roles: in the group, heard lately, and its disk takes writes."""
         if member == self._own:
             return True
@@ -112,7 +112,7 @@
             views[witness] = PeerView(
                 silence_s=now - peer.answered_at,
                 healthy=peer.takes_writes(witness in record.group),
-                rested=now - peer.left_out_at > self._timings.rejoin_s,
+                can_rejoin=now - peer.excluded_at > self._timings.rejoin_delay_s,
                 leaving=self.is_leaving(witness),
             )
         return views
--- a/arrowfold/replication/primary.py
+++ b/arrowfold/replication/primary.py
@@ -1,4 +1,4 @@
-"""The term of a primary: heartbeats and lease, writes in batches, and the care for its group."""
+"""The term of a primary: heartbeats and lease, batched writes, and changes of its group's membership."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from arrowfold.internal.messages import MemberInfo
 from arrowfold.node.result_codes import ResultCode
 from arrowfold.replication.batches import ProposalQueue
-from arrowfold.replication.epochs import Composition, EpochChange, EpochFault, Found
+from arrowfold.replication.epochs import Composition, EpochChange, EpochFault, Promises
 from arrowfold.replication.member import GroupMember
 from arrowfold.replication.membership import (
     Membership,
@@ -26,11 +26,15 @@
 from arrowfold.replication.records import EpochRecord, RecordConfirmed
 from arrowfold.replication.state import Entry
 
-CHANGE_ATTEMPTS = 3  # at a new epoch, before the term ends
+CHANGE_ATTEMPTS = 3  # failed attempts at one change of epoch before the term ends
 
 
 class PrimaryTerm:
-    """The work of a primary from the epoch that made it one until it loses its lease or resigns."""
+    """A member's term as primary, from its election until it loses its lease or resigns.
+
+    The term spans several epochs if the primary changes the membership. Times are in seconds by its steady
+    clock.
+    """
 
     def __init__(
         self,
@@ -38,14 +42,14 @@
         member: GroupMember,
         caller: Caller,
         change: EpochChange,
-        machine_losses: int,
+        tolerated_losses: int,
         log: EventLog,
     ) -> None:
         self.record = record
         self._member = member
         self._caller = caller
         self._change = change
-        self._losses = machine_losses
+        self._tolerated_losses = tolerated_losses
         self._log = log
         self._timings = member.timings
         self._clock = member.clock
@@ -54,19 +58,19 @@
         self._newcomers: dict[str, tuple[MemberInfo, float]] = {}
         self._queue = ProposalQueue()
         self._work = asyncio.Event()
-        self._wanted: Membership | None = None
-        self._changing = False  # a new epoch is being brought about
-        self._outbid = 0  # a higher epoch that some witness promised to somebody
+        self._target_membership: Membership | None = None
+        self._is_changing = False  # a change of epoch is in progress
+        self._higher_promise = 0  # highest epoch above the own that a witness is known to have promised
         self._heartbeats: set[asyncio.Task[None]] = set()
         self._committed = member.image.state.sequence
-        self._ever_active = False
+        self._was_activated = False
         self.ended = False
-        self.hands_over = False  # the term ended by itself: others need not wait for its lease to run out
+        self.hands_over = False  # the term released its lease, so others need not wait for it to expire
         self.on_active: Callable[[], None] = lambda: None
 
     @property
     def committed(self) -> int:
-        """How far the log is committed."""
+        """The committed sequence of the log."""
         return self._committed
 
     # Lease
@@ -78,43 +82,46 @@
         return self._clock() < self.lease_until()
 
     def lease_until(self) -> float:
-        """Until when the lease holds, by the own steady clock."""
+        """When the lease expires, by the own steady clock."""
         return self._peers.lease_until(self.record)
 
     def is_complete(self) -> bool:
-        """Whether the group has the members that the losses to be borne ask for, as far as they exist."""
-        if len(self.record.group) < copies_required(self._losses, len(self.record.witnesses)):
+        """Whether the group has enough members to tolerate the configured losses.
+
+        After `complete_group_wait_s`, a group with fewer witnesses than required counts as complete too.
+        """
+        if len(self.record.group) < copies_required(self._tolerated_losses, len(self.record.witnesses)):
             return False
         waited_s = self._clock() - self._started_at
-        enough = len(self.record.witnesses) >= witnesses_required(self._losses)
-        return enough or waited_s >= self._timings.complete_group_s
+        enough = len(self.record.witnesses) >= witnesses_required(self._tolerated_losses)
+        return enough or waited_s >= self._timings.complete_group_wait_s
 
     def is_active(self) -> bool:
         """Whether this term may commit, acknowledge and answer reads."""
         return self.has_lease() and self.is_complete()
 
     def is_current(self) -> bool:
-        """Whether all that is committed is published here, and no other primary can commit more."""
+        """Whether the whole committed state is published here and no other primary can commit more."""
         return self.is_active() and self._member.published.sequence == self._committed
 
     # Heartbeats
 
     def send_heartbeats(self) -> None:
-        """Send one to every witness that does not still owe an answer to the last."""
+        """Send a heartbeat to every other witness that has none in flight."""
         own = self._member.info.member
         self._member.grant_lease(own)
         for witness in self.record.witnesses:
-            if witness.member != own and not self._peers.get(witness.member).calling:
+            if witness.member != own and not self._peers.get(witness.member).heartbeat_in_flight:
                 task = asyncio.create_task(self._heartbeat(witness))
                 self._heartbeats.add(task)
                 task.add_done_callback(self._heartbeats.discard)
 
     async def _heartbeat(self, witness: MemberInfo) -> None:
         peer = self._peers.get(witness.member)
-        peer.calling = True
+        peer.heartbeat_in_flight = True
         sent_at = self._clock()
         record = self.record
-        echo = peer.clock if self.has_lease() and self._peers.is_fit(record, witness.member) else None
+        echo = peer.clock if self.has_lease() and self._peers.is_eligible(record, witness.member) else None
         if echo is not None:
             peer.echoed_at = sent_at
         request = Heartbeat(
@@ -123,33 +130,33 @@
         try:
             answer = await self._caller.call(witness.address, request, self._timings.call_s)
         finally:
-            peer.calling = False
-        found = answer.ok()
-        if not isinstance(found, HeartbeatAnswer) or found.member.member != witness.member or self.ended:
+            peer.heartbeat_in_flight = False
+        reply = answer.ok()
+        if not isinstance(reply, HeartbeatAnswer) or reply.member.member != witness.member or self.ended:
             return
-        peer.answered(self._clock(), found)
-        if found.granted:
-            self._granted(peer, sent_at)
-        elif found.record_epoch < record.epoch and found.promised <= record.epoch:
-            await self._bring_record(witness, record)
-        elif found.promised > self._member.highest_epoch:
-            self._outbid = max(self._outbid, found.promised)
+        peer.record_answer(self._clock(), reply)
+        if reply.granted:
+            self._on_grant(peer, sent_at)
+        elif reply.record_epoch < record.epoch and reply.promised <= record.epoch:
+            await self._send_record(witness, record)
+        elif reply.promised > self._member.highest_epoch:
+            self._higher_promise = max(self._higher_promise, reply.promised)
             self._work.set()
 
-    def _granted(self, peer: Peer, sent_at: float) -> None:
+    def _on_grant(self, peer: Peer, sent_at: float) -> None:
         had_lease = self.is_active()
         peer.granted_at = max(peer.granted_at, sent_at)
         if not had_lease and self.is_active():
-            self._activated()
+            self._on_activated()
 
-    async def _bring_record(self, witness: MemberInfo, record: EpochRecord) -> None:
-        """A witness lacks the record: to accept it grants the lease as well."""
+    async def _send_record(self, witness: MemberInfo, record: EpochRecord) -> None:
+        """Send the current record to a witness that lacks it; accepting it also grants the lease."""
         sent_at = self._clock()
         request = AcceptEpoch(record)
         answer = await self._caller.call(witness.address, request, self._timings.durable_call_s)
         verdict = answer.ok()
         if isinstance(verdict, Verdict) and verdict.done and record == self.record and not self.ended:
-            self._granted(self._peers.get(witness.member), sent_at)
+            self._on_grant(self._peers.get(witness.member), sent_at)
 
     def _end(self, reason: str, hand_over: bool = False) -> None:
         self.hands_over = self.hands_over or hand_over
@@ -158,9 +165,9 @@
         self.ended = True
         self._work.set()
 
-    def _activated(self) -> None:
-        if not self._ever_active:
-            self._ever_active = True
+    def _on_activated(self) -> None:
+        if not self._was_activated:
+            self._was_activated = True
             self._log.info(
                 "primary.active",
                 epoch=self.record.epoch,
@@ -171,99 +178,105 @@
         self.on_active()
 
     def _publish(self) -> None:
-        """Make the committed state visible here; the others learn it by the next heartbeat."""
+        """Publish the committed state on this member; backups learn its sequence by the next heartbeat."""
         state = self._member.image.state
         if not self._member.image.confirmed:
             self._member.durable.note(RecordConfirmed(self.record.epoch))
         if state.sequence == self._committed:
-            self._member.heard_at = self._clock()
+            self._member.primary_seen_at = self._clock()
             self._member.publish(state)
 
     def resign(self) -> None:
-        """End the term; what waits is answered as not known to be committed."""
+        """End the term; a batch in progress is answered as not known to be committed."""
         self._end("resigned", hand_over=True)
 
     # Members
 
     def join(self, newcomer: MemberInfo) -> None:
-        """A core machine asks to be taken in."""
+        """Handle the request of a control node to join the group."""
         if self.record.find(newcomer.member) is None:
             self._newcomers[newcomer.member] = (newcomer, self._clock())
 
     def leave(self, member: str) -> bool:
-        """A member was told to end and asks to be removed; whether it may end now.
+        """Handle the request of a stopping member to be removed; returns whether it may stop now.
 
-        It may once the record without it is chosen, and known to be chosen on the disks that remain. Of the
-        voters that the losses to be borne ask for none is removed: one of these only leaves the group.
+        It may stop once a record without it is chosen, and known to be chosen on enough remaining disks. The
+        number of witnesses never falls below the number required to tolerate the configured losses: a member
+        that is still needed as a witness only leaves the group.
         """
         self._newcomers.pop(member, None)
-        self._peers.asks_to_leave(member)
+        self._peers.note_leaving(member)
         self._consider_members()
-        if self._changing or self._wanted is not None or member in self.record.group:
+        if self._is_changing or self._target_membership is not None or member in self.record.group:
             return False
         votes = self.record.find(member) is not None
-        if votes and len(self.record.witnesses) > witnesses_required(self._losses):
+        if votes and len(self.record.witnesses) > witnesses_required(self._tolerated_losses):
             return False
         return self.is_secured()
 
     def is_secured(self) -> bool:
-        """Whether enough disks that stay know the record to be chosen, also after the losses to be borne.
+        """Whether enough remaining disks to tolerate the configured losses know the record to be chosen.
 
-        A record with one set of voters is superseded by that set's majority, known as chosen or not.
+        A record with a single quorum needs no confirmation: it is superseded by a majority of that quorum,
+        whether or not it is known to be chosen.
         """
         if len(self.record.quorums) == 1:
             return True
         own = self._member.durable.confirmed_epoch >= self.record.epoch
-        needed = copies_required(self._losses, len(self.record.witnesses))
-        return own + self._peers.confirmed_on(self.record) >= needed
+        needed = copies_required(self._tolerated_losses, len(self.record.witnesses))
+        return own + self._peers.count_confirmed(self.record) >= needed
 
-    def fit_members(self) -> tuple[str, ...]:
-        """The members that may hold roles."""
-        return tuple(member for member in self.record.group if self._peers.is_fit(self.record, member))
+    def eligible_members(self) -> tuple[str, ...]:
+        """The members that may be granted roles."""
+        return tuple(member for member in self.record.group if self._peers.is_eligible(self.record, member))
 
     def authority_ended(self, member: str) -> bool:
-        """Whether a member can't act under any role any longer."""
+        """Whether a member can no longer act under any role."""
         return self._peers.authority_ended(member)
 
     def tick(self) -> None:
-        """The regular work: heartbeats, members that came or went, the own disk."""
+        """Periodic work: send heartbeats, check the lease and the own disk, consider membership changes."""
         if self.ended:
             return
         self.send_heartbeats()
         now = self._clock()
         if self.has_lease():
-            self._leased_at = self._member.heard_at = now
-        elif now - self._leased_at > self._timings.leaderless_s:
+            self._leased_at = self._member.primary_seen_at = now
+        elif now - self._leased_at > self._timings.lease_loss_timeout_s:
             self._end("no lease")
             return
         if not self._member.durable.is_healthy(self._timings.disk_s):
-            self._end("the own disk is in trouble", hand_over=True)
+            self._end("the own disk is unhealthy", hand_over=True)
             return
         self._consider_members()
 
     def _consider_members(self) -> None:
-        """Have the members changed if others are wanted than the record has."""
-        wanted = self._wanted_membership()
-        if self.has_lease() and wanted != Membership(self.record.group, self.record.witnesses):
-            self._wanted = wanted
+        """Request a change of membership if the target differs from the current record."""
+        target = self._compute_membership()
+        if self.has_lease() and target != Membership(self.record.group, self.record.witnesses):
+            self._target_membership = target
             self._work.set()
 
-    def _wanted_membership(self) -> Membership:
+    def _compute_membership(self) -> Membership:
         now = self._clock()
         recent_s = 3 * self._timings.join_retry_s
         newcomers = tuple(info for info, at in self._newcomers.values() if now - at <= recent_s)
         own = self._member.info.member
-        wanted = next_membership(
-            self.record, own, self._peers.views(self.record), newcomers, self._losses, self._timings
+        target = next_membership(
+            self.record, own, self._peers.views(self.record), newcomers, self._tolerated_losses, self._timings
         )
-        if len(wanted.group) < copies_required(self._losses, len(wanted.witnesses)):
+        if len(target.group) < copies_required(self._tolerated_losses, len(target.witnesses)):
             return Membership(self.record.group, self.record.witnesses)
-        return wanted
+        return target
 
     # Writes
 
     async def propose(self, decide: Decide[Any]) -> Result[Any, ReplicationFault]:
-        """Queue a proposal; its answer is given once the batch that it belongs to is committed."""
+        """Queue a proposal; returns its answer once the batch that contains it is committed.
+
+        Returns NO_QUORUM if the term is not active, NOT_PRIMARY if it ends before the proposal is decided,
+        STATE_DAMAGED if `decide` raises, and REPLICATION_TIMEOUT if the outcome is unknown.
+        """
         if not self.is_active():
             return Err(ReplicationFault(ResultCode.NO_QUORUM, "no lease, or too few members"))
         answer = self._queue.add(decide)
@@ -278,9 +291,9 @@
                 self._work.clear()
                 if self.ended:
                     break
-                if self._outbid > self.record.epoch:
-                    await self._outbid_again()
-                elif self._wanted is not None:
+                if self._higher_promise > self.record.epoch:
+                    await self._supersede_higher_promise()
+                elif self._target_membership is not None:
                     await self._change_members()
                 while self._queue and not self.ended:
                     await self._commit_batch()
@@ -299,13 +312,13 @@
             batch.fail()
 
     async def _commit(self, entries: tuple[Entry, ...]) -> bool:
-        """Store entries at every member of the group; a member that does not answer is left out."""
+        """Store entries at every member of the group; members that fail to are excluded by a new epoch."""
         request = AppendEntries(self.record.epoch, self._member.image.position, entries, self._committed)
         missing = await self._append_everywhere(request)
         if self._member.info.member in missing:
-            self._end("the own disk did not take the entries", hand_over=True)
+            self._end("the own disk did not store the entries", hand_over=True)
             return False
-        if missing and not await self._leave_out(missing):
+        if missing and not await self._exclude(missing):
             return False
         self._committed = self._member.image.state.sequence
         self._publish()
@@ -313,7 +326,7 @@
         return True
 
     async def _append_everywhere(self, request: AppendEntries) -> set[str]:
-        """The members of the group that did not store the entries."""
+        """Send the entries to the group; returns the members that did not store them."""
 
         async def append_at(member: str) -> str | None:
             if member == self._member.info.member:
@@ -328,60 +341,60 @@
         results = await asyncio.gather(*(append_at(member) for member in self.record.group))
         return {member for member in results if member is not None}
 
-    async def _leave_out(self, missing: set[str]) -> bool:
-        """Go on without some backups, under a new epoch."""
+    async def _exclude(self, missing: set[str]) -> bool:
+        """Continue without some backups, under a new epoch."""
         for member in missing:
-            self._peers.get(member).left_out_at = self._clock()
+            self._peers.get(member).excluded_at = self._clock()
         group = tuple(member for member in self.record.group if member not in missing)
         self._log.warning("group.members_missing", epoch=self.record.epoch, missing=sorted(missing))
         return await self._new_epoch(Membership(group, self.record.witnesses))
 
     async def _change_members(self) -> None:
-        wanted, self._wanted = self._wanted, None
-        assert wanted is not None
-        if wanted == Membership(self.record.group, self.record.witnesses):
+        target, self._target_membership = self._target_membership, None
+        assert target is not None
+        if target == Membership(self.record.group, self.record.witnesses):
             return
         now = self._clock()
-        for member in set(self.record.group) - set(wanted.group):
-            self._peers.get(member).left_out_at = now
-        await self._new_epoch(wanted)
+        for member in set(self.record.group) - set(target.group):
+            self._peers.get(member).excluded_at = now
+        await self._new_epoch(target)
 
-    async def _outbid_again(self) -> None:
-        """A witness promised a higher epoch: go on under a still higher one, unless another leads already."""
+    async def _supersede_higher_promise(self) -> None:
+        """Continue under an epoch above the one that a witness promised, unless it has a primary already."""
         trial = await self._new_epoch(Membership(self.record.group, self.record.witnesses), trial=True)
         if trial:
             await self._new_epoch(Membership(self.record.group, self.record.witnesses))
 
-    async def _new_epoch(self, wanted: Membership, trial: bool = False) -> bool:
-        """Bring a new membership about; the state with all that was appended is committed by it."""
-        self._changing = True
+    async def _new_epoch(self, target: Membership, trial: bool = False) -> bool:
+        """Start a new epoch with a new membership, which also commits all entries appended so far."""
+        self._is_changing = True
         try:
-            return await self._try_epochs(wanted, trial)
+            return await self._try_epochs(target, trial)
         finally:
-            self._changing = False
+            self._is_changing = False
 
-    async def _try_epochs(self, wanted: Membership, trial: bool) -> bool:
-        copies = copies_required(self._losses, len(wanted.witnesses))
+    async def _try_epochs(self, target: Membership, trial: bool) -> bool:
+        copies = copies_required(self._tolerated_losses, len(target.witnesses))
 
-        def compose(found: Found) -> Result[Composition, EpochFault]:
-            group = tuple(member for member in wanted.group if member in found.granted)
-            if found.record is None or found.record.epoch != self.record.epoch:
-                return Err(EpochFault("another epoch came first"))
+        def compose(promises: Promises) -> Result[Composition, EpochFault]:
+            group = tuple(member for member in target.group if member in promises.granted)
+            if promises.record is None or promises.record.epoch != self.record.epoch:
+                return Err(EpochFault("another epoch was started first"))
             if len(group) < copies or self._member.info.member not in group:
                 return Err(EpochFault("too few members promised"))
-            return Ok(Composition(group, wanted.witnesses, copies))
+            return Ok(Composition(group, target.witnesses, copies))
 
-        newcomers = [witness for witness in wanted.witnesses if self.record.find(witness.member) is None]
+        newcomers = [witness for witness in target.witnesses if self.record.find(witness.member) is None]
         for _ in range(CHANGE_ATTEMPTS):
-            epoch = max(self._member.highest_epoch, self._outbid) + 1
+            epoch = max(self._member.highest_epoch, self._higher_promise) + 1
             result = await self._change.run(epoch, compose, newcomers, trial)
             if isinstance(result, Ok):
                 if not trial:
                     self._adopt(result.ok_value)
                 return True
-            self._outbid = max(self._outbid, result.err_value.promised)
+            self._higher_promise = max(self._higher_promise, result.err_value.promised)
             self._log.warning("epoch.change_failed", epoch=epoch, reason=str(result.err_value))
-        self._end("no new epoch came about")
+        self._end("no new epoch could be started")
         return False
 
     def _adopt(self, record: EpochRecord) -> None:
--- a/arrowfold/replication/recovery.py
+++ b/arrowfold/replication/recovery.py
@@ -1,4 +1,4 @@
-"""The start of a member from its disk; damaged files are set aside, never guessed at."""
+"""Recovers a member from its disk. Damaged files are renamed and kept; no data is reconstructed from them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStorage:
-    """A member's identity, its log, and the image in it; `damage` names what was set aside."""
+    """A member's identity, log and recovered image; `damage` is the reason why files were set aside."""
 
     identity: Identity
     log: SegmentedLog
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewIdentity:
-    """The identity to take where the disk is empty."""
+    """The identity to store on an empty disk."""
 
     member: str
     founder: bool
@@ -40,7 +40,7 @@
 
 
 def _set_aside(folder: Folder) -> None:
-    """Rename all files, so that the machine starts as one with an empty disk."""
+    """Rename all files, so that the node starts as with an empty disk."""
     names = [name for name in folder.names() if not name.startswith(SET_ASIDE_PREFIX)]
     for name in names:
         folder.rename(name, SET_ASIDE_PREFIX + name)
@@ -48,7 +48,7 @@
 
 
 def open_storage(folder: Folder, new: NewIdentity) -> OpenedStorage:
-    """Blocking: recover a member. After damage it is a new member, as after the loss of its disk."""
+    """Recover a member; blocks. After damage it starts as a new member, as after the loss of its disk."""
     try:
         return _open(folder, new, None)
     except DamagedStorage as damage:
--- a/arrowfold/replication/replica.py
+++ b/arrowfold/replication/replica.py
@@ -1,4 +1,4 @@
-"""One member of the replicated control state: it joins, witnesses, backs up, stands and leads."""
+"""One member of the replicated control state: joining, elections, its term as primary, and leaving."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 from arrowfold.internal.messages import Acknowledgement, MemberInfo
 from arrowfold.node.result_codes import ResultCode
-from arrowfold.replication.epochs import Composition, EpochChange, EpochFault, Found
+from arrowfold.replication.epochs import Composition, EpochChange, EpochFault, Promises
 from arrowfold.replication.joining import GroupFinder
-from arrowfold.replication.leaving import Leavers
+from arrowfold.replication.leaving import LeavingMembers
 from arrowfold.replication.member import GroupMember
 from arrowfold.replication.membership import copies_required
 from arrowfold.replication.messages import (
@@ -37,55 +37,55 @@
 from arrowfold.replication.roles import next_grant, no_companion, propose_grant
 from arrowfold.replication.state import ControlState
 
-FOUNDING_STEP_S = 0.6  # between the moments at which the seeds offer to found the first group
-LEAVE_PATIENCE_S = 6.0  # for its release, before a stopping member ends without it
+BOOTSTRAP_STEP_S = 0.6  # delay per position in the seed list before a seed tries to bootstrap the group
+LEAVE_TIMEOUT_S = 6.0  # maximum time that a stopping member waits to be released
 
 
 class Replica:
-    """A member's whole part in replication; `run` drives it."""
+    """Runs one member of the group; `run` is its main loop."""
 
     def __init__(
         self,
         member: GroupMember,
         caller: Caller,
         founding_seeds: tuple[str, ...],
-        machine_losses: int,
+        tolerated_losses: int,
         log: EventLog,
         draw: random.Random,
-        leave_patience_s: float = LEAVE_PATIENCE_S,
+        leave_timeout_s: float = LEAVE_TIMEOUT_S,
     ) -> None:
-        """`leave_patience_s`: how long a stopping member waits to be released."""
+        """`leave_timeout_s`: maximum time that a stopping member waits to be released."""
         self._member = member
         self._caller = caller
         self._seeds = founding_seeds
-        self._losses = machine_losses
+        self._tolerated_losses = tolerated_losses
         self._log = log
         self._draw = draw
         self._timings = member.timings
         self._clock = member.clock
-        self._leave_patience_s = leave_patience_s
-        self._leavers = Leavers(member.clock, member.timings)
+        self._leave_timeout_s = leave_timeout_s
+        self._leavers = LeavingMembers(member.clock, member.timings)
         self._change = EpochChange(member, caller, founding_seeds, self._leavers)
         self._term: PrimaryTerm | None = None
         self._started_at = member.clock()
-        self._next_attempt = 0.0
+        self._next_election_at = 0.0
         self._next_epoch = 0
         self._finder = GroupFinder(member.info, caller, member.clock, member.timings)
         self._finder.seeds = founding_seeds
         self._stopping = False
         self._stopped = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._passing: asyncio.Task[None] | None = None  # a role that is being passed on
+        self._role_grant_task: asyncio.Task[None] | None = None
         self._listeners: list[Callable[[], None]] = []
-        self._wanted_roles: Callable[[ControlState], tuple[str, ...]] = lambda _state: ()
+        self._required_roles: Callable[[ControlState], tuple[str, ...]] = lambda _state: ()
         self._companion: Callable[[str], str | None] = no_companion
         member.on_change = self._notify
 
-    # What the control plane sees
+    # Interface for the control plane
 
     @property
     def committed(self) -> ControlState:
-        """The newest state that is known to be committed."""
+        """The newest state known to be committed."""
         return self._member.published
 
     @property
@@ -101,12 +101,12 @@
 
     @property
     def term(self) -> PrimaryTerm | None:
-        """The term that this member leads, if it leads one."""
+        """This member's current term as primary, or None."""
         return self._term
 
     @property
     def group_member(self) -> GroupMember:
-        """This member's part as witness and backup."""
+        """This member's state as witness and backup."""
         return self._member
 
     def members(self) -> tuple[MemberInfo, ...]:
@@ -124,23 +124,26 @@
         return self._term is not None and self._term.is_active()
 
     def is_current(self) -> bool:
-        """Whether `committed` was confirmed by the primary lately."""
+        """Whether the primary recently confirmed that `committed` is the whole committed state."""
         return self._member.is_current() if self._term is None else self._term.is_current()
 
     def state_age_s(self) -> float | None:
-        """`committed` holds all that was acknowledged so many seconds ago; None if that can't be told."""
+        """Age bound of `committed` in seconds: it contains every change acknowledged at least this long ago.
+
+        None if no bound is known; 0 on an active primary.
+        """
         if self._term is None:
             return self._member.state_age_s()
         return 0.0 if self._term.is_current() else None
 
     async def propose(self, decide: Decide[AnswerT]) -> Result[AnswerT, ReplicationFault]:
-        """As the primary: decide on the newest state, commit, and answer under a lease that holds."""
+        """On the primary: decide on the newest state, commit the entry, and answer under a valid lease."""
         if self._term is None or self._stopping:
             return Err(ReplicationFault(ResultCode.NOT_PRIMARY, "not the primary"))
         return await self._term.propose(decide)
 
     def authority_until(self) -> float:
-        """Until when this member may act under the roles that it holds, by its steady clock."""
+        """When this member's authority to act under its roles ends, by its steady clock."""
         if self._stopping:
             return 0.0
         return self._term.lease_until() if self._term is not None else self._member.authority_until()
@@ -150,18 +153,19 @@
         roles: Callable[[ControlState], tuple[str, ...]],
         companion: Callable[[str], str | None] = no_companion,
     ) -> None:
-        """Which roles there should be, as the primary derives it from the state.
+        """Set how the primary derives the required roles from the state.
 
-        `companion`: the role whose holder is to hold a role, too, if there is one; it stands before it in
-        `roles`.
+        `companion` returns the role that a role should share its holder with, or None. `roles` must list it
+        before the role that depends on it.
         """
-        self._wanted_roles = roles
+        self._required_roles = roles
         self._companion = companion
 
-    async def _pass_roles_on(self, term: PrimaryTerm) -> None:
+    async def _grant_next_role(self, term: PrimaryTerm) -> None:
+        """Propose the grant of one role that needs a holder, if there is one."""
         state = self.committed
-        wanted = self._wanted_roles(state)
-        grant = next_grant(state, wanted, term.fit_members(), term.authority_ended, self._companion)
+        wanted = self._required_roles(state)
+        grant = next_grant(state, wanted, term.eligible_members(), term.authority_ended, self._companion)
         if grant is None:
             return
         passed = await term.propose(propose_grant(grant, state))
@@ -169,7 +173,7 @@
             self._log.info("role.granted", role=grant.role, member=grant.member)
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Call `listener` whenever the committed state or the epoch changed."""
+        """Call `listener` whenever the committed state or the epoch has changed."""
         self._listeners.append(listener)
 
     def _notify(self) -> None:
@@ -177,13 +181,13 @@
             listener()
 
     def set_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Where else to look for the group: the seeds of the settings, as they are now."""
+        """Set the addresses at which to look for the group: the seeds of the current settings."""
         self._finder.seeds = addresses
 
     # Calls from other members
 
     def handlers(self) -> dict[type[Any], Callable[[Any], Awaitable[Any]]]:
-        """The handler of each message of replication."""
+        """The handler of each replication message, by message type."""
         return {
             PrepareEpoch: self._member.prepare,
             FetchState: self._member.fetch,
@@ -207,7 +211,7 @@
         return Acknowledgement()
 
     async def _on_departing(self, request: Departing) -> Acknowledgement:
-        self._member.departing(request)
+        self._member.handle_departing(request)
         return Acknowledgement()
 
     async def _on_leave(self, request: LeaveRequest) -> LeaveAnswer:
@@ -215,14 +219,14 @@
         released = self._term is not None and self._term.leave(request.member.member)
         return LeaveAnswer(released, self._finder.newest(self._member.image.record))
 
-    # The life of the member
+    # Main loop
 
     async def run(self) -> None:
-        """Do the regular work until `stop` has returned."""
+        """Run the periodic work until `stop` has returned."""
         while not self._stopped:
             await self._step()
             leading = self._term is not None
-            await asyncio.sleep(self._timings.heartbeat_s if leading else self._timings.watch_s)
+            await asyncio.sleep(self._timings.heartbeat_s if leading else self._timings.election_check_s)
 
     async def _step(self) -> None:
         self._spawn(self._member.durable.repair())
@@ -232,14 +236,14 @@
             self._term.tick()
             if self._term.ended:
                 self._end_term()
-            elif self._term.is_active() and (self._passing is None or self._passing.done()):
-                self._passing = self._spawn(self._pass_roles_on(self._term))
+            elif self._term.is_active() and (self._role_grant_task is None or self._role_grant_task.done()):
+                self._role_grant_task = self._spawn(self._grant_next_role(self._term))
             return
         record = self._finder.newest(self._member.image.record)
         if self._stopping:
             return
-        if record is None and self._may_found():
-            await self._found_group()
+        if record is None and self._may_bootstrap():
+            await self._bootstrap_group()
         elif record is not None and record.find(self.member) is not None:
             await self._stand_if_leaderless()
         else:
@@ -255,63 +259,71 @@
         term, self._term = self._term, None
         if term is not None and term.hands_over:
             self._spawn(self._hand_over())
-        self._next_attempt = self._clock() + self._timings.suspicion_s
+        self._next_election_at = self._clock() + self._timings.election_timeout_s
         self._notify()
 
-    # Founding
+    # Bootstrap
 
-    def _may_found(self) -> bool:
+    def _may_bootstrap(self) -> bool:
         return self._member.founder and self._member.info.address in self._seeds
 
-    async def _found_group(self) -> None:
+    async def _bootstrap_group(self) -> None:
+        """Try to form the first group, after a delay that grows with the position in the seed list."""
         rank = self._seeds.index(self._member.info.address)
-        if self._clock() < max(self._next_attempt, self._started_at + rank * FOUNDING_STEP_S):
+        if self._clock() < max(self._next_election_at, self._started_at + rank * BOOTSTRAP_STEP_S):
             return
-        if self._clock() - self._member.yielded_at < self._timings.founding_yield_s:
+        if self._clock() - self._member.last_promise_to_other_at < self._timings.bootstrap_promise_backoff_s:
             return
-        await self._attempt(self._compose_first_group)
+        await self._run_election(self._compose_bootstrap_group)
 
-    def _compose_first_group(self, found: Found) -> Result[Composition, EpochFault]:
-        if found.record is not None:
-            return self._compose_same_witnesses(found)
+    def _compose_bootstrap_group(self, promises: Promises) -> Result[Composition, EpochFault]:
+        if promises.record is not None:
+            return self._compose_same_witnesses(promises)
         founders = {
-            answer.member.address: answer.member for answer in found.granted.values() if answer.founder
+            answer.member.address: answer.member for answer in promises.granted.values() if answer.founder
         }
         witnesses = tuple(founders[seed] for seed in self._seeds if seed in founders)
-        copies = copies_required(self._losses, len(witnesses))
+        copies = copies_required(self._tolerated_losses, len(witnesses))
         return Ok(Composition(tuple(witness.member for witness in witnesses), witnesses, copies))
 
     # Election
 
     async def _stand_if_leaderless(self) -> None:
+        """Start an election if the primary has been silent for the election timeout.
+
+        The timeout grows with the member's rank: first the group, then other witnesses, last the old primary.
+        """
         record = self._finder.newest(self._member.image.record)
         assert record is not None
         order = [*record.group, *(name for name in record.witness_ids() if name not in record.group)]
         order = [name for name in order if name != record.primary] + [record.primary]
         rank = order.index(self._member.info.member)
-        patience_s = self._timings.suspicion_s + rank * self._timings.suspicion_step_s
-        if record.primary == self.member and not self._member.heard_in_this_life:
-            patience_s = 0.0  # this member led when its processes ended: nobody's lease is to be waited out
+        timeout_s = self._timings.election_timeout_s + rank * self._timings.election_stagger_s
+        if record.primary == self.member and not self._member.has_received_heartbeat:
+            timeout_s = 0.0  # this member was primary before its restart: no other member's lease is held
         now = self._clock()
-        if now - self._member.heard_at < patience_s or now < self._next_attempt:
+        if now - self._member.primary_seen_at < timeout_s or now < self._next_election_at:
             return
-        if now - self._member.yielded_at < self._timings.yield_s:
+        if now - self._member.last_promise_to_other_at < self._timings.promise_backoff_s:
             return
-        await self._attempt(self._compose_same_witnesses)
+        await self._run_election(self._compose_same_witnesses)
 
-    def _compose_same_witnesses(self, found: Found) -> Result[Composition, EpochFault]:
-        record = found.record
+    def _compose_same_witnesses(self, promises: Promises) -> Result[Composition, EpochFault]:
+        record = promises.record
         assert record is not None
         if record.find(self._member.info.member) is None:
             return Err(EpochFault("no longer a witness"))
-        group = tuple(member for member in record.witness_ids() if member in found.granted)
-        copies = copies_required(self._losses, len(record.witnesses))
+        group = tuple(member for member in record.witness_ids() if member in promises.granted)
+        copies = copies_required(self._tolerated_losses, len(record.witnesses))
         if len(group) < copies:
             return Err(EpochFault(f"{len(group)} members promised, {copies} are needed"))
         return Ok(Composition(group, record.witnesses, copies))
 
-    async def _attempt(self, compose: Callable[[Found], Result[Composition, EpochFault]]) -> None:
-        """Stand for the next epoch: first on trial, so that a futile candidate disturbs nobody."""
+    async def _run_election(self, compose: Callable[[Promises], Result[Composition, EpochFault]]) -> None:
+        """Run for primary of the next epoch.
+
+        A trial round comes first, so that a candidate without enough promises does not disrupt the primary.
+        """
         epoch = max(self._member.highest_epoch, self._next_epoch) + 1
         result = await self._change.run(epoch, compose, trial=True)
         if isinstance(result, Ok):
@@ -320,7 +332,7 @@
             self._next_epoch = max(self._next_epoch, result.err_value.promised)
             self._finder.note(result.err_value.newest)
             pause_s = self._timings.election_retry_s * (0.5 + self._draw.random())
-            self._next_attempt = self._clock() + pause_s
+            self._next_election_at = self._clock() + pause_s
             self._log.info("election.failed", epoch=epoch, reason=str(result.err_value))
             return
         self._log.info(
@@ -332,19 +344,21 @@
         self._lead(result.ok_value)
 
     def _lead(self, record: EpochRecord) -> None:
-        term = PrimaryTerm(record, self._member, self._caller, self._change, self._losses, self._log)
+        term = PrimaryTerm(
+            record, self._member, self._caller, self._change, self._tolerated_losses, self._log
+        )
         term.on_active = self._notify
         self._term = term
         self._spawn(term.serve())
         term.send_heartbeats()
         self._notify()
 
-    # The end
+    # Leaving
 
     async def stop(self) -> bool:
-        """Hand over what this member leads, and end once the others agree that it is not needed.
+        """Hand over the term, if there is one, and wait until the group releases this member.
 
-        Whether they did; without that its disk may be needed again.
+        Returns whether it was released; if not, its disk may still be needed.
         """
         self._stopping = True
         term, self._term = self._term, None
@@ -356,22 +370,22 @@
         return released
 
     async def _hand_over(self) -> None:
-        """Tell the others, and this member itself, that nobody needs to wait for its lease to run out."""
+        """Notify all witnesses, this one included, that the lease is released before it expires."""
         record = self._member.image.record
         if record is None:
             return
         notice = Departing(record.epoch, self.member, was_primary=True)
-        self._member.departing(notice)
+        self._member.handle_departing(notice)
         await self._call_others(record, notice)
 
     async def _leave(self) -> bool:
-        """Go on voting until the primary releases this member, nobody is left to do so, or time is up."""
-        deadline = self._clock() + self._leave_patience_s
+        """Keep voting until the primary releases this member, all others leave too, or the timeout ends."""
+        deadline = self._clock() + self._leave_timeout_s
         while self._clock() < deadline:
             record = self._finder.newest(self._member.image.record)
             if record is None:
                 return False
-            # Asked before looking whether the others leave too: once this member ends, it can't tell them.
+            # Sent before checking whether all others leave: once stopped, this member can't notify them.
             answers = await self._call_others(record, LeaveRequest(self._member.info))
             for answer in answers:
                 self._finder.note(answer.record)
@@ -381,11 +395,11 @@
             if self._leavers.all_leaving(record, self.member):
                 return False
             await asyncio.sleep(self._timings.leave_retry_s)
-        self._log.warning("member.left_without_release", patience_s=self._leave_patience_s)
+        self._log.warning("member.left_without_release", patience_s=self._leave_timeout_s)
         return False
 
     async def _call_others(self, record: EpochRecord, request: object) -> list[LeaveAnswer]:
-        """Call every other witness of a record; the answers to a request to leave."""
+        """Call every other witness of a record; returns those answers that are a `LeaveAnswer`."""
         calls = [
             self._caller.call(witness.address, request, self._timings.call_s)
             for witness in record.witnesses
--- a/arrowfold/replication/roles.py
+++ b/arrowfold/replication/roles.py
@@ -16,7 +16,7 @@
 from arrowfold.replication.proposals import Proposal, ReplicaPort
 from arrowfold.replication.state import ControlState, RoleGrant
 
-HAND_OVER_SLACK_S = 0.1  # beyond `hand_over_wait_s`, before a new holder acts
+HANDOVER_MARGIN_S = 0.1  # beyond `hand_over_wait_s`, before a new holder acts
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     authority_until: float
 
 
-class HandOverBounds(Protocol):
+class HandoverBounds(Protocol):
     """The figures of the operating rules that a hand-over keeps to."""
 
     @property
@@ -45,7 +45,7 @@
         """Whether workers refuse a fencing token below one that they have seen."""
 
 
-def hand_over_wait_s(bounds: HandOverBounds, arrival_s: float) -> float:
+def hand_over_wait_s(bounds: HandoverBounds, arrival_s: float) -> float:
     """How long a new holder of a role waits once its predecessor's authority has ended.
 
     `arrival_s`: how long an order of the predecessor may still be on its way. Where workers check fences, a
@@ -70,8 +70,8 @@
         self._replica = replica
         self._clock = clock
         self._authority_until = authority_until
-        self._wait_s = hand_over_s + HAND_OVER_SLACK_S
-        self._learned: dict[int, float] = {}  # when this member first saw each of its tokens
+        self._wait_s = hand_over_s + HANDOVER_MARGIN_S
+        self._first_seen: dict[int, float] = {}  # when this member first saw each of its tokens
 
     @property
     def holder(self) -> str:
@@ -86,7 +86,7 @@
             if tenure.member == self._replica.member
         }
         now = self._clock()
-        self._learned = {token: self._learned.get(token, now) for token in own}
+        self._first_seen = {token: self._first_seen.get(token, now) for token in own}
 
     def is_tenured(self, role: str, token: int) -> bool:
         """Whether the committed state known here gives this member the role under this token."""
@@ -98,10 +98,10 @@
         tenure = self._replica.committed.roles.get(role)
         if tenure is None or tenure.member != self._replica.member:
             return None
-        learned = self._learned.get(tenure.token)
-        if learned is None:
+        first_seen = self._first_seen.get(tenure.token)
+        if first_seen is None:
             return None
-        return HeldRole(role, tenure.token, learned + (self._wait_s if tenure.previous else 0.0), 0.0)
+        return HeldRole(role, tenure.token, first_seen + (self._wait_s if tenure.previous else 0.0), 0.0)
 
     def held(self, role: str) -> HeldRole | None:
         """This member's tenure of a role, if it may act under it at this moment."""
@@ -160,7 +160,7 @@
 def next_grant(
     state: ControlState,
     wanted: tuple[str, ...],
-    fit: tuple[str, ...],
+    eligible: tuple[str, ...],
     authority_ended: Callable[[str], bool],
     companion: Callable[[str], str | None] = no_companion,
 ) -> RoleGrant | None:
@@ -171,12 +171,12 @@
     """
     for role in wanted:
         tenure = state.roles.get(role)
-        if tenure is not None and (tenure.member in fit or not authority_ended(tenure.member)):
+        if tenure is not None and (tenure.member in eligible or not authority_ended(tenure.member)):
             continue
-        beside = state.roles.get(companion(role) or "")
-        if beside is not None and beside.member not in fit:
+        companion_tenure = state.roles.get(companion(role) or "")
+        if companion_tenure is not None and companion_tenure.member not in eligible:
             continue
-        holder = preferred_holder(role, fit) if beside is None else beside.member
+        holder = preferred_holder(role, eligible) if companion_tenure is None else companion_tenure.member
         if holder is not None:
             return RoleGrant(role, holder)
     return None
--- a/arrowfold/replication/usage_ledger.py
+++ b/arrowfold/replication/usage_ledger.py
@@ -10,8 +10,8 @@
 
 from arrowfold.internal.codec import message
 
-MOST_PENDING = 720  # windows that were decided and not reported; of more, the oldest are given up
-REMEMBERED_REPORTED = 4  # windows that were reported, kept with their counts to look at
+MAX_PENDING_WINDOWS = 720  # windows that were decided and not reported; of more, the oldest are given up
+REPORTED_WINDOWS_KEPT = 4  # windows that were reported, kept with their counts to look at
 NONE_DECIDED = -1
 
 
@@ -70,7 +70,7 @@
 def _with_decided(ledger: UsageLedger, entry: UsageWindowDecided) -> UsageLedger:
     if ledger.is_settled(entry.window):
         return ledger
-    pending = _newest({**ledger.pending, entry.window: entry.counts}, MOST_PENDING)
+    pending = _newest({**ledger.pending, entry.window: entry.counts}, MAX_PENDING_WINDOWS)
     return replace(ledger, decided_through=entry.window, pending=pending)
 
 
@@ -79,7 +79,7 @@
     if counts is None:
         return ledger
     pending = {other: kept for other, kept in ledger.pending.items() if other != window}
-    reported = _newest({**ledger.reported, window: counts}, REMEMBERED_REPORTED)
+    reported = _newest({**ledger.reported, window: counts}, REPORTED_WINDOWS_KEPT)
     return replace(ledger, pending=pending, reported=reported)
 
 
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -34,7 +34,7 @@
     Area.REPLICATION,
     "replication/member.py",
     ("a backup is current for a time", "and self.clock() < self._current_until", "and True"),
-    ("a backup is current at a position", "and self.published.sequence == self.committed_known", "and True"),
+    ("a backup is current at a position", "and self.published.sequence == self.known_committed", "and True"),
     (
         "a backup is current in an epoch",
         "            and self.image.state_epoch == record.epoch\n            and self.published",
@@ -42,7 +42,7 @@
     ),
     (
         "accepting forgets how far the log is committed",
-        "self.committed_known = -1  # the new primary",
+        "self.known_committed = -1  # the new primary",
         "pass  # the new primary",
     ),
     (
@@ -50,26 +50,26 @@
         "clock() + timings.lease_s if record is not None else 0.0",
         "0.0",
     ),
-    ("a backup tells the age of its word", "return self.clock() - self._vouched_at", "return 0.0"),
-    ("the newest word counts", "if echo > self._vouched_at:", "if True:"),
+    ("a backup tells the age of its word", "return self.clock() - self._newest_echo", "return 0.0"),
+    ("the newest word counts", "if echo > self._newest_echo:", "if True:"),
     (
         "a word counts where its position is held",
-        "or self.published.sequence < self._vouched_position:",
+        "or self.published.sequence < self._committed_at_echo:",
         "or False:",
     ),
     (
         "authority only by an echo of this life",
-        "request.echo is not None and request.echo in self._told_clocks",
+        "request.echo is not None and request.echo in self._sent_clocks",
         "request.echo is not None",
     ),
     (
         "a promise refuses lower epochs",
-        "if request.epoch <= self.highest_epoch and not again:",
+        "if request.epoch <= self.highest_epoch and not is_repeat:",
         "if False:",
     ),
     (
         "a promise is checked again before it is written",
-        "if request.epoch <= image.promised and not again:",
+        "if request.epoch <= image.promised and not is_repeat:",
         "if False:",
     ),
     (
@@ -115,13 +115,13 @@
     ),
     (
         "an epoch that was handed over grants nothing",
-        " and request.epoch != self._handed_over",
+        " and request.epoch != self._handed_over_epoch",
         "",
     ),
     (
         "a heartbeat is granted for the record's epoch only",
-        "granted = leads and image.record is not None and image.record.epoch == request.epoch",
-        "granted = leads and image.record is not None",
+        "granted = is_from_primary and image.record is not None and image.record.epoch == request.epoch",
+        "granted = is_from_primary and image.record is not None",
     ),
     ("what is published never goes back", "if state.sequence > self.published.sequence:", "if True:"),
 )
@@ -143,23 +143,23 @@
     ("a release waits for a secured record", "        return self.is_secured()\n", "        return True\n"),
     (
         "a record is secured on enough disks",
-        "return own + self._peers.confirmed_on(self.record) >= needed",
+        "return own + self._peers.count_confirmed(self.record) >= needed",
         "return True",
     ),
     (
         "a leaver is out of the voters",
-        "if votes and len(self.record.witnesses) > witnesses_required(self._losses):",
+        "if votes and len(self.record.witnesses) > witnesses_required(self._tolerated_losses):",
         "if False:",
     ),
     ("a leaver is out of the group", " or member in self.record.group:", ":"),
     (
         "no release while members change",
-        "if self._changing or self._wanted is not None or member in",
+        "if self._is_changing or self._target_membership is not None or member in",
         "if member in",
     ),
     (
         "a change follows on the own epoch",
-        "if found.record is None or found.record.epoch != self.record.epoch:",
+        "if promises.record is None or promises.record.epoch != self.record.epoch:",
         "if False:",
     ),
     (
@@ -169,7 +169,7 @@
     ),
     (
         "no membership below the copies required",
-        "if len(wanted.group) < copies_required(self._losses, len(wanted.witnesses)):",
+        "if len(target.group) < copies_required(self._tolerated_losses, len(target.witnesses)):",
         "if False:",
     ),
     (
@@ -189,13 +189,13 @@
     "replication/epochs.py",
     (
         "an unconfirmed record needs all its majorities",
-        "record.quorums[-1:] if inquiry.is_confirmed(record) else record.quorums",
+        "record.quorums[-1:] if prepare_round.is_confirmed(record) else record.quorums",
         "record.quorums[-1:]",
     ),
     (
         "a record takes the majorities of both sets",
-        "merged = merged_quorums(found.quorums, deciders)",
-        "merged = (deciders,)",
+        "merged = merged_quorums(promises.quorums, witness_quorum)",
+        "merged = (witness_quorum,)",
     ),
     (
         "a source is of the newest group",
@@ -211,17 +211,17 @@
     ("the candidate stored the state itself", "if self._member.info.member not in group:", "if False:"),
     (
         "candidates ask the voters of every set",
-        "self._ask(inquiry, request, [voter.address for voter in record.voters()])",
-        "self._ask(inquiry, request, [voter.address for voter in record.witnesses])",
+        "self._send_prepares(prepare_round, request, [voter.address for voter in record.voters()])",
+        "self._send_prepares(prepare_round, request, [voter.address for voter in record.witnesses])",
     ),
     (
         "candidates ask members that leave",
-        "self._ask(inquiry, request, self._leavers.addresses())",
+        "self._send_prepares(prepare_round, request, self._leavers.addresses())",
         "pass",
     ),
     (
         "records go to all who promised",
-        "for member, answer in found.granted.items():\n            addresses",
+        "for member, answer in promises.granted.items():\n            addresses",
         "for member, answer in ():\n            addresses",
     ),
     (
@@ -243,15 +243,15 @@
         "replication/membership.py",
         (
             "members that leave go before silent ones",
-            "dict.fromkeys((*leaving, *silent))",
-            "dict.fromkeys((*silent, *leaving))",
+            "dict.fromkeys((*leaving, *unresponsive))",
+            "dict.fromkeys((*unresponsive, *leaving))",
         ),
         (
             "no witness goes below those required",
-            "if len(witnesses) > witnesses_required(machine_losses):",
+            "if len(witnesses) > witnesses_required(tolerated_losses):",
             "if True:",
         ),
-        ("leavers leave enough copies behind", " and len(remaining) > least_copies:", ":"),
+        ("leavers leave enough copies behind", " and len(remaining) > min_copies:", ":"),
         (
             "a new identity replaces the old at its address",
             "[*(witness for witness in record.witnesses if witness.address not in addresses), *new]",
@@ -260,7 +260,7 @@
         ("only healthy members are in the group", "not peer.healthy or peer.silence_s", "peer.silence_s"),
         (
             "a member left out waits to come back",
-            "return member in record.group or peer.rested",
+            "return member in record.group or peer.can_rejoin",
             "return True",
         ),
     ),
@@ -302,8 +302,8 @@
         "replication/roles.py",
         (
             "a role passes on once its holder's authority ended",
-            "(tenure.member in fit or not authority_ended(tenure.member))",
-            "tenure.member in fit",
+            "(tenure.member in eligible or not authority_ended(tenure.member))",
+            "tenure.member in eligible",
         ),
         (
             "a grant follows on the tenure it saw",
--- a/tests/system/control_simulation/planted.py
+++ b/tests/system/control_simulation/planted.py
@@ -20,7 +20,7 @@
 from arrowfold.replication import epochs, roles, state
 from arrowfold.replication.batches import Batch
 from arrowfold.replication.durable import DurableImage
-from arrowfold.replication.epochs import Found
+from arrowfold.replication.epochs import Promises
 from arrowfold.replication.member import GroupMember
 from arrowfold.replication.messages import PrepareAnswer, PrepareEpoch, Verdict
 from arrowfold.replication.primary import PrimaryTerm
@@ -66,7 +66,7 @@
     """A promise is kept in memory alone."""
 
     async def prepare(self: GroupMember, request: PrepareEpoch) -> PrepareAnswer:
-        reason = self._refusal(request)
+        reason = self._refusal_reason(request)
         if reason is None and not request.trial:
             self.durable.image = replace(
                 self.durable.image, promised=request.epoch, promised_to=request.candidate.member
@@ -123,10 +123,10 @@
 def _any_source() -> AbstractContextManager[Any]:
     """A new epoch starts from the state of whoever promised."""
 
-    def sources(found: Found) -> list[PrepareAnswer]:
-        return sorted(found.granted.values(), key=lambda answer: answer.position.key())[:1]
+    def sources(promises: Promises) -> list[PrepareAnswer]:
+        return sorted(promises.granted.values(), key=lambda answer: answer.position.key())[:1]
 
-    return patch.object(epochs, "_sources", sources)
+    return patch.object(epochs, "_state_sources", sources)
 
 
 def _install_claimed() -> AbstractContextManager[Any]:
@@ -155,7 +155,7 @@
     original = roles.RoleAuthority.__init__
 
     def initialise(self: Any, replica: Any, clock: Any, until: Any, _: float) -> None:
-        original(self, replica, clock, until, -roles.HAND_OVER_SLACK_S)
+        original(self, replica, clock, until, -roles.HANDOVER_MARGIN_S)
 
     return patch.object(roles.RoleAuthority, "__init__", initialise)
 
@@ -187,7 +187,7 @@
     """A backup takes entries of a primary that was superseded."""
 
     async def append(self: GroupMember, request: Any) -> Verdict:
-        return await self._durably(lambda image: Ok(EntriesAppended(request.epoch, request.entries)))
+        return await self._write_durably(lambda image: Ok(EntriesAppended(request.epoch, request.entries)))
 
     return patch.object(GroupMember, "append", append)
 
@@ -200,7 +200,7 @@
         return (
             record is not None
             and self.image.state_epoch == record.epoch
-            and self.published.sequence == self.committed_known
+            and self.published.sequence == self.known_committed
         )
 
     return patch.object(GroupMember, "is_current", is_current)
--- a/tests/system/test_control_found_anew.py
+++ b/tests/system/test_control_found_anew.py
@@ -14,7 +14,7 @@
 from arrowfold.internal.codec import encode
 from arrowfold.internal.messages import STATE_ORIGIN, MemberInfo, PullResponse
 from arrowfold.replication.durable import image_of
-from arrowfold.replication.founding_anew import JUMP, export_state, found_anew, read_export
+from arrowfold.replication.founding_anew import RECOVERY_OFFSET, export_state, found_anew, read_export
 from arrowfold.replication.records import EntriesAppended, MemberImage, PromiseStored
 from arrowfold.replication.recovery import NewIdentity, open_storage
 from arrowfold.replication.state import (
@@ -56,7 +56,7 @@
     founder.start()
     # Then it leads, the other wiped one joins it, and so does the survivor, whose own group is no more
     await world.until(world.is_whole, 15.0, "everyone in the new group")
-    assert founder.replica is not None and founder.replica.epoch > epoch + JUMP - 1
+    assert founder.replica is not None and founder.replica.epoch > epoch + RECOVERY_OFFSET - 1
     # And what was acknowledged is there, and changes go on
     state = founder.replica.committed
     assert state.configuration is not None and describe(state.configuration)[0] >= 2
@@ -85,9 +85,13 @@
 
 def test_epochs_positions_and_tokens_lie_beyond_all_that_the_lost_group_used() -> None:
     image = _founded()
-    assert image.promised >= 4 + JUMP and image.record is not None and image.record.epoch == image.promised
-    assert image.state.sequence >= 3 + JUMP
-    assert image.state.last_token >= 1 + JUMP
+    assert (
+        image.promised >= 4 + RECOVERY_OFFSET
+        and image.record is not None
+        and image.record.epoch == image.promised
+    )
+    assert image.state.sequence >= 3 + RECOVERY_OFFSET
+    assert image.state.last_token >= 1 + RECOVERY_OFFSET
     assert image.state.roles["placement/s"].token == 1  # passes on under a higher token
 
 
--- a/tests/system/test_control_guards.py
+++ b/tests/system/test_control_guards.py
@@ -12,7 +12,14 @@
 
 from arrowfold.internal.channel import ChannelError
 from arrowfold.internal.messages import MemberInfo
-from arrowfold.replication.epochs import Composition, EpochChange, EpochFault, Found, _Inquiry, _sources
+from arrowfold.replication.epochs import (
+    Composition,
+    EpochChange,
+    EpochFault,
+    Promises,
+    _PrepareRound,
+    _state_sources,
+)
 from arrowfold.replication.membership import Membership
 from arrowfold.replication.messages import Heartbeat, PrepareAnswer, PrepareEpoch, Verdict
 from arrowfold.replication.primary import PrimaryTerm
@@ -158,7 +165,7 @@
         term = _term(primary)
         for witness in term.record.witness_ids():
             term._peers.get(witness).healthy = False
-        assert term._wanted_membership() == Membership(term.record.group, term.record.witnesses)
+        assert term._compute_membership() == Membership(term.record.group, term.record.witnesses)
 
     _with_primary(act)
 
@@ -181,7 +188,7 @@
         peer = term._peers.get(witness.member)
         before = peer.granted_at
         term._caller = _AcceptsLate(term)
-        await term._bring_record(witness, term.record)
+        await term._send_record(witness, term.record)
         assert peer.granted_at == before
 
     _with_primary(act)
@@ -190,7 +197,7 @@
 class _ComposesOnce:
     """Stands in for the change of epoch: composes on what it is told, and fails."""
 
-    def __init__(self, found: Found) -> None:
+    def __init__(self, found: Promises) -> None:
         self._found = found
         self.composed: Result[Composition, EpochFault] | None = None
 
@@ -199,7 +206,7 @@
         return Err(EpochFault("only composed"))
 
 
-def _composed(term: PrimaryTerm, found: Found) -> Awaitable[Result[Composition, EpochFault]]:
+def _composed(term: PrimaryTerm, found: Promises) -> Awaitable[Result[Composition, EpochFault]]:
     async def compose() -> Result[Composition, EpochFault]:
         change = _ComposesOnce(found)
         term._change = change  # type: ignore[assignment]
@@ -217,10 +224,10 @@
         promises = {info.member: _promise(info, record) for info in record.witnesses}
         others = {member: answer for member, answer in promises.items() if member != own}
         later = replace(record, epoch=record.epoch + 1)
-        assert (await _composed(term, Found(record, record.quorums, promises))).is_ok()
-        assert (await _composed(term, Found(later, record.quorums, promises))).is_err()
-        assert (await _composed(term, Found(record, record.quorums, {own: promises[own]}))).is_err()
-        assert (await _composed(term, Found(record, record.quorums, others))).is_err()
+        assert (await _composed(term, Promises(record, record.quorums, promises))).is_ok()
+        assert (await _composed(term, Promises(later, record.quorums, promises))).is_err()
+        assert (await _composed(term, Promises(record, record.quorums, {own: promises[own]}))).is_err()
+        assert (await _composed(term, Promises(record, record.quorums, others))).is_err()
 
     _with_primary(act)
 
@@ -248,7 +255,7 @@
         term.record = replace(term.record, group=group, witnesses=(*term.record.witnesses, *extra))
         term._consider_members = lambda: None  # type: ignore[method-assign]
         term.is_secured = lambda: True  # type: ignore[method-assign]
-        term._changing, term._wanted = changing, None
+        term._is_changing, term._target_membership = changing, None
         assert term.leave(leaver) == released
 
     _with_primary(act)
@@ -265,7 +272,7 @@
         "b": _promise(b, record, state_epoch=4),
         "c": _promise(c, record, state_epoch=5),
     }
-    assert _sources(Found(record, record.quorums, promises)) == [promises["a"]]
+    assert _state_sources(Promises(record, record.quorums, promises)) == [promises["a"]]
 
 
 def test_a_record_takes_the_majorities_of_all_its_sets_until_it_is_known_to_be_chosen() -> None:
@@ -277,12 +284,12 @@
         )
         record = EpochRecord(5, own.member, (own.member, "b"), (own, b, c), (before, now))
         for confirmed, expected in ((False, None), (True, (now,))):
-            inquiry = _Inquiry()
-            inquiry.answers = {
+            prepare_round = _PrepareRound()
+            prepare_round.answers = {
                 own.member: _promise(own, record, confirmed, state_epoch=5),
                 "b": _promise(b, record, state_epoch=5),
             }
-            found = _replica(primary)._change._found(inquiry)
+            found = _replica(primary)._change._evaluate_promises(prepare_round)
             assert (found.quorums if found is not None else None) == expected
 
     _with_primary(act)
@@ -296,7 +303,7 @@
     async def _install(self, *_: Any) -> set[str]:
         return self.stored
 
-    async def _accept(self, record: EpochRecord, found: Found) -> Result[EpochRecord, EpochFault]:
+    async def _accept(self, record: EpochRecord, found: Promises) -> Result[EpochRecord, EpochFault]:
         return Ok(record)
 
 
@@ -313,7 +320,7 @@
         change.stored = {infos[name].member for name in stored.split()}
         members = tuple(info.member for info in infos.values())
         promises = {info.member: _promise(info, None) for info in infos.values()}
-        found = Found(None, (Quorum(members),), promises)
+        found = Promises(None, (Quorum(members),), promises)
         begun = await change._establish(9, found, Composition(members, tuple(infos.values()), 2))
         assert begun.is_ok() == comes_about
 
--- a/tests/system/test_control_member.py
+++ b/tests/system/test_control_member.py
@@ -171,7 +171,7 @@
     async def act(alone: Alone) -> None:
         epoch = alone.record.epoch
         assert (await alone.member.heartbeat(alone.heartbeat(epoch))).granted
-        alone.member.departing(Departing(epoch, alone.primary.member, was_primary=True))
+        alone.member.handle_departing(Departing(epoch, alone.primary.member, was_primary=True))
         assert not (await alone.member.heartbeat(alone.heartbeat(epoch))).granted
         assert (await alone.member.prepare(PrepareEpoch(epoch + 1, alone.third))).granted
 
--- a/tests/system/test_usage_ledger.py
+++ b/tests/system/test_usage_ledger.py
@@ -30,8 +30,8 @@
 from arrowfold.replication.proposals import Decide
 from arrowfold.replication.state import ControlState, RoleGrant, apply_entry
 from arrowfold.replication.usage_ledger import (
-    MOST_PENDING,
-    REMEMBERED_REPORTED,
+    MAX_PENDING_WINDOWS,
+    REPORTED_WINDOWS_KEPT,
     UsageEntry,
     UsageLedger,
     UsageWindowDecided,
@@ -72,12 +72,12 @@
 
 def test_given_many_windows_then_pending_and_reported_ones_are_bounded() -> None:
     ledger = UsageLedger()
-    for window in range(MOST_PENDING + 10):
+    for window in range(MAX_PENDING_WINDOWS + 10):
         ledger = apply_usage(ledger, UsageWindowDecided(window, {"huka": 1}))
-    assert list(ledger.pending) == list(range(10, MOST_PENDING + 10))
+    assert list(ledger.pending) == list(range(10, MAX_PENDING_WINDOWS + 10))
     for window in list(ledger.pending):
         ledger = apply_usage(ledger, UsageWindowReported(window))
-    assert not ledger.pending and len(ledger.reported) == REMEMBERED_REPORTED
+    assert not ledger.pending and len(ledger.reported) == REPORTED_WINDOWS_KEPT
     assert ledger.is_settled(0)
 
 
