--- a/arrowfold/replication/__init__.py
+++ b/arrowfold/replication/__init__.py
@@ -1,4 +1,4 @@
-"""Primary-backup replication of the control state under epochs that witnesses decide.
+"""Primary-backup replication of the control state; witnesses store only epochs and decide failover.
 
 See docs/control-state.md.
 """
--- a/arrowfold/replication/batches.py
+++ b/arrowfold/replication/batches.py
@@ -1,4 +1,4 @@
-"""Proposals that wait for the primary, and the batches in which they are decided and committed."""
+"""The primary's queue of proposals and the batches in which they are evaluated and committed."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from arrowfold.replication.proposals import Decide, Proposal, ReplicationFault
 from arrowfold.replication.state import ControlState, Entry, apply_entry
 
-MAX_BATCH_PROPOSALS = 64  # proposals that share one sync
+MAX_BATCH_PROPOSALS = 64  # maximum number of proposals that share one sync
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A proposal and who waits for its answer."""
+class PendingProposal:
+    """A queued proposal and the future of its answer."""
 
     decide: Decide[Any]
     future: asyncio.Future[Result[Any, ReplicationFault]] = field(
@@ -25,16 +25,19 @@
     )
 
     def settle(self, result: Result[Any, ReplicationFault]) -> None:
-        """Give the answer, if anyone still waits."""
+        """Resolve the future, unless it is done or cancelled."""
         if not self.future.done():
             self.future.set_result(result)
 
     def fail(self, code: ResultCode, text: str) -> None:
-        """Answer that it was not committed, or is not known to be."""
+        """Resolve the future with a fault: not committed, or not known to be committed."""
         self.settle(Err(ReplicationFault(code, text)))
 
     def evaluate(self, state: ControlState) -> Proposal[Any] | None:
-        """The decision; None if it failed, which must not end the others."""
+        """The proposal for this state, or None if `decide` raised.
+
+        An exception fails only this proposal, not the others of the batch.
+        """
         try:
             return self.decide(state)
         except Exception as error:
@@ -44,53 +47,53 @@
 
 @dataclass(slots=True)
 class Batch:
-    """Decisions on one state after the other, to be committed together."""
+    """Proposals evaluated on successive states, whose entries are committed together."""
 
     entries: list[Entry] = field(default_factory=list)
-    answers: list[tuple[Waiting, Any]] = field(default_factory=list)
+    answers: list[tuple[PendingProposal, Any]] = field(default_factory=list)
 
     def settle(self) -> None:
-        """All of it is committed."""
-        for waiting, answer in self.answers:
-            waiting.settle(Ok(answer))
+        """Answer all proposals after their entries are committed."""
+        for pending, answer in self.answers:
+            pending.settle(Ok(answer))
 
     def fail(self) -> None:
-        """It is not known whether it is committed."""
-        for waiting, _ in self.answers:
-            waiting.fail(ResultCode.REPLICATION_TIMEOUT, "not known to be committed")
+        """Answer all proposals that the outcome of the commit is unknown."""
+        for pending, _ in self.answers:
+            pending.fail(ResultCode.REPLICATION_TIMEOUT, "not known to be committed")
 
 
 class ProposalQueue:
-    """Proposals in the order in which they came."""
+    """A first-in, first-out queue of proposals."""
 
     def __init__(self) -> None:
-        self._waiting: list[Waiting] = []
+        self._waiting: list[PendingProposal] = []
 
     def __bool__(self) -> bool:
         return bool(self._waiting)
 
     def add(self, decide: Decide[Any]) -> asyncio.Future[Result[Any, ReplicationFault]]:
-        """Queue a proposal; the future is its answer."""
-        waiting = Waiting(decide)
-        self._waiting.append(waiting)
-        return waiting.future
+        """Queue a proposal; returns the future of its answer."""
+        pending = PendingProposal(decide)
+        self._waiting.append(pending)
+        return pending.future
 
     def next_batch(self, state: ControlState) -> Batch:
-        """Decide on the proposals that wait, each on the state that the one before leads to."""
+        """Take up to MAX_BATCH_PROPOSALS and evaluate each on the state that the previous one leads to."""
         taken, self._waiting = self._waiting[:MAX_BATCH_PROPOSALS], self._waiting[MAX_BATCH_PROPOSALS:]
         batch = Batch()
-        for waiting in taken:
-            proposal = waiting.evaluate(state)
+        for pending in taken:
+            proposal = pending.evaluate(state)
             if proposal is None:
                 continue
-            batch.answers.append((waiting, proposal.answer))
+            batch.answers.append((pending, proposal.answer))
             if proposal.entry is not None:
                 batch.entries.append(proposal.entry)
                 state = apply_entry(state, proposal.entry)
         return batch
 
     def fail_all(self) -> None:
-        """The term ended before these were decided on."""
-        for waiting in self._waiting:
-            waiting.fail(ResultCode.NOT_PRIMARY, "the term ended")
+        """Fail all queued proposals because the term has ended."""
+        for pending in self._waiting:
+            pending.fail(ResultCode.NOT_PRIMARY, "the term ended")
         self._waiting.clear()
--- a/arrowfold/replication/durable.py
+++ b/arrowfold/replication/durable.py
@@ -1,4 +1,7 @@
-"""The durable image of one member: changed one record at a time, in memory only after it is on the disk."""
+"""The persisted state of one member, changed by one log record at a time.
+
+The copy in memory changes only after the record is durable on disk.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +17,12 @@
 from arrowfold.storage.log import RecoveredLog, SegmentedLog
 from arrowfold.storage.worker import DiskWorker
 
-COMPACT_BYTES = 4 * 1024 * 1024  # of a segment, before the next one starts from a snapshot
-REPAIR_INTERVAL_S = 0.5  # between attempts to start anew after a failed write
+COMPACT_BYTES = 4 * 1024 * 1024  # size of a segment above which the log is compacted
+REPAIR_INTERVAL_S = 0.5  # minimum time between attempts to restart the log after a failed write
 
 
 def image_of(recovered: RecoveredLog) -> MemberImage:
-    """The image that a recovered log holds; raises DamagedStorage if a record can't be read."""
+    """Rebuild a member's state from a recovered log; raises DamagedStorage if a record can't be read."""
     try:
         image = MemberImage() if recovered.snapshot is None else decode(recovered.snapshot)
         for record in recovered.records:
@@ -31,11 +34,12 @@
 
 
 class DurableImage:
-    """A `MemberImage` and the log that keeps it.
+    """A `MemberImage` and the log that persists it.
 
-    `change` holds the lock while the disk works, also beyond the caller's time-out: a late change is as a
-    late message. After a failed write the log is started anew from the image in memory before anything else
-    is written. `confirmed_epoch` is the highest epoch whose record is known on the disk to be chosen.
+    `change` holds the lock until the disk has finished, also beyond the caller's timeout; a change that
+    becomes durable late is equivalent to a message that arrives late. After a failed write the log is
+    compacted from the state in memory before anything else is written. `confirmed_epoch` is the highest
+    epoch whose record is known to be chosen according to the disk.
     """
 
     def __init__(self, log: SegmentedLog, worker: DiskWorker, clock: Clock, image: MemberImage) -> None:
@@ -52,21 +56,22 @@
         self.image = image
         self.confirmed_epoch = image.record.epoch if image.confirmed and image.record is not None else 0
 
-    def is_healthy(self, patience_s: float) -> bool:
-        """Whether the disk took the last write and no write has been waiting for `patience_s`."""
-        stalled = self._busy_since is not None and self._clock() - self._busy_since > patience_s
+    def is_healthy(self, timeout_s: float) -> bool:
+        """Whether the last write succeeded and no write has been in progress for more than `timeout_s`."""
+        stalled = self._busy_since is not None and self._clock() - self._busy_since > timeout_s
         return not self._broken and not stalled
 
     def note(self, record: RecordConfirmed) -> None:
-        """Adopt a record now and write it with the next one, or with the next `flush`.
+        """Apply a record in memory now and write it with the next record or the next `flush`.
 
-        Only for what is safe to forget: until it is written, a power loss makes this member ask more voters.
+        Only for records that are safe to lose: if power is lost before the write, this member needs promises
+        from more voters than necessary.
         """
         self.image = apply_record(self.image, record)
         self._unwritten.append(record)
 
     async def flush(self) -> None:
-        """Write the noted records, if no other write that would take them along is under way."""
+        """Write the noted records, unless a write that may include them is in progress."""
         if not self._unwritten or self._broken or self._lock.locked():
             return
         async with self._lock:
@@ -78,9 +83,10 @@
         timeout_s: float,
         on_failure: Callable[[], None] | None = None,
     ) -> Result[MemberImage, StorageFault]:
-        """Write the record that `decide` makes of the image; answers once it is durable, or with why not.
+        """Write the record that `decide` returns for the current state.
 
-        `on_failure` is called when the write turns out to have failed, also after the time-out.
+        Returns the new state once it is durable, or a StorageFault if `decide` refused, the write failed or
+        `timeout_s` passed. `on_failure` is called if the write fails, also after the timeout.
         """
         task = asyncio.create_task(self._change(decide, on_failure))
         self._tasks.add(task)
@@ -89,7 +95,7 @@
             async with asyncio.timeout(timeout_s):
                 return await asyncio.shield(task)
         except TimeoutError:
-            return Err(StorageFault(f"the disk did not answer in {timeout_s} s"))
+            return Err(StorageFault(f"the disk did not complete a write within {timeout_s} s"))
 
     async def _change(
         self,
@@ -111,7 +117,7 @@
             return Ok(self.image)
 
     async def _write(self, records: Sequence[LogRecord]) -> Result[None, StorageFault]:
-        """Append the noted records and then these, with one sync."""
+        """Append the noted records, then these, with one sync; restart a broken log first."""
         notes, self._unwritten = self._unwritten, []
         encoded = [encode(item) for item in (*notes, *records)]
         try:
@@ -122,12 +128,15 @@
         except OSError as error:
             self._broken = True
             self._unwritten = [*notes, *self._unwritten]
-            return Err(StorageFault(f"the disk refused a write: {error}"))
+            return Err(StorageFault(f"a write to the disk failed: {error}"))
         self.confirmed_epoch = max((self.confirmed_epoch, *(note.epoch for note in notes)))
         return Ok(None)
 
     async def _compact(self) -> None:
-        """Start the next segment; a failure is mended before the next write and does not undo this one."""
+        """Start the next segment.
+
+        A failure does not undo the write before it; the log is restarted before the next write.
+        """
         try:
             await self._run(lambda: self._log.compact(encode(self.image)))
         except OSError:
@@ -141,7 +150,7 @@
             self._busy_since = None
 
     async def repair(self) -> None:
-        """After a failed write: try to start the log anew, so that the disk may count as healthy again."""
+        """After a failed write, try to restart the log, so that the disk counts as healthy again."""
         if not self._broken or self._lock.locked() or self._clock() < self._next_repair:
             return
         self._next_repair = self._clock() + REPAIR_INTERVAL_S
--- a/arrowfold/replication/founding_anew.py
+++ b/arrowfold/replication/founding_anew.py
@@ -1,8 +1,8 @@
-"""A group founded anew from one exported state, when more disks are lost than the group can bear.
+"""Disaster recovery: bootstraps a new group from one exported state after the loss of a quorum of disks.
 
-Nobody agrees to it: whatever was acknowledged and is not in the exported state is lost. Epoch, position and
-fencing tokens go far beyond all that the lost group may have used, so that members, edges and workers that
-still hold something of it take what the new group says.
+This is no agreement of members: every acknowledged change that is missing from the exported state is lost.
+Epoch, log position and fencing tokens start far above all values that the lost group may have used, so that
+members, edge nodes and workers that still hold older values accept those of the new group.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from arrowfold.storage.log import SegmentedLog
 
 EXPORT_VERSION = 1
-RECOVERY_OFFSET = 1_000_000  # epochs, log positions and fencing tokens beyond those of the exported state
+RECOVERY_OFFSET = 1_000_000  # added to the exported state's epoch, log position and fencing token
 
 
 @message(57)
 @dataclass(frozen=True, slots=True)
 class ExportedState:
-    """What one member held. `epoch`: the highest that it took part in, or promised."""
+    """The state of one member; `epoch` is the highest epoch that it accepted or promised."""
 
     format_version: int
     member: str
@@ -37,25 +37,28 @@
 
 
 def export_state(member: str, image: MemberImage) -> bytes:
-    """A file that holds a member's whole state, with a checksum."""
+    """Returns the content of an export file: a member's whole state with a checksum."""
     epoch = max(image.promised, image.record.epoch if image.record is not None else 0)
     return encode_frame(encode(ExportedState(EXPORT_VERSION, member, epoch, image.state)), 0)
 
 
 def read_export(data: bytes, name: str) -> Result[ExportedState, StorageFault]:
-    """The state in a file that `export_state` made; `name` is the file's, for errors."""
+    """Parse the content of an export file; `name` is the file's name for error messages."""
     try:
         payloads = scan(data, name).payloads
         exported = decode(payloads[0]) if len(payloads) == 1 else None
     except (DamagedStorage, CodecError) as error:
         return Err(StorageFault(f"{name}: {error}"))
     if not isinstance(exported, ExportedState) or exported.format_version != EXPORT_VERSION:
-        return Err(StorageFault(f"{name}: no exported state of this version, or cut short"))
+        return Err(StorageFault(f"{name}: truncated, or not an exported state of this version"))
     return Ok(exported)
 
 
 def _advance_beyond_lost_group(state: ControlState) -> ControlState:
-    """The same contents at a position and token beyond the lost group's; every puller is told all of it."""
+    """The same content at a position and token above the lost group's.
+
+    Patches are dropped, so that every puller receives the whole configuration.
+    """
     sequence = state.sequence + RECOVERY_OFFSET
     return replace(
         state,
@@ -71,7 +74,7 @@
 
 
 def bootstrap_image(exported: ExportedState, founder: MemberInfo) -> MemberImage:
-    """The image of the first member of the new group: its only voter, until others join it."""
+    """The state of the first member of the new group, its only voter until others join."""
     epoch = exported.epoch + RECOVERY_OFFSET
     record = EpochRecord(epoch, founder.member, (founder.member,), (founder,), (Quorum((founder.member,)),))
     return MemberImage(
@@ -88,12 +91,12 @@
 def found_anew(
     folder: Folder, exported: ExportedState, founder: MemberInfo
 ) -> Result[MemberImage, StorageFault]:
-    """Blocking: make an empty folder the disk of the new group's first member.
+    """Initialise an empty folder as the disk of the new group's first member; blocks.
 
-    The identity comes last: without it a folder that was left half made is set aside by the node's start.
+    The identity is written last: a node that starts on a folder without identity sets its files aside.
     """
     if folder.names():
-        return Err(StorageFault("the folder is not empty: move away what it holds, it may be needed"))
+        return Err(StorageFault("the folder is not empty: move its files away, they may still be needed"))
     image = bootstrap_image(exported, founder)
     log = SegmentedLog(folder)
     log.recover()
--- a/arrowfold/replication/identity.py
+++ b/arrowfold/replication/identity.py
@@ -1,4 +1,4 @@
-"""The identity of a member: drawn once for a disk, and never used again once that disk is lost."""
+"""The identity of a member: drawn once per disk and never reused after that disk is lost."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 @message(56)
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this disk is. `founder`: it was empty when the whole system started for the first time.
+    """The identity stored on a disk.
 
-    `seeds` are the addresses that the founders were told; only their majority may form the first group.
+    `founder`: the disk was initialised at the first start of the system, not after a loss. `seeds`: the seed
+    addresses at that time; only a majority of them may bootstrap the group.
     """
 
     format_version: int
@@ -30,7 +31,10 @@
 
 
 def read_identity(folder: Folder) -> Identity | None:
-    """The identity on this disk, or None where the disk is empty; raises DamagedStorage."""
+    """Returns the identity on this disk, or None if the disk is empty.
+
+    Raises DamagedStorage if the file is unreadable, or missing beside other files.
+    """
     names = folder.names()
     if IDENTITY_FILE not in names:
         leftovers = [
@@ -50,7 +54,7 @@
 
 
 def store_identity(folder: Folder, member: str, founder: bool, seeds: tuple[str, ...]) -> Identity:
-    """Give an empty disk the identity `member`, which is new; durable when this returns."""
+    """Store the new identity `member` on an empty disk; durable when this returns."""
     identity = Identity(FORMAT_VERSION, member, founder, seeds)
     file = folder.open(TEMPORARY_FILE)
     try:
--- a/arrowfold/replication/joining.py
+++ b/arrowfold/replication/joining.py
@@ -1,4 +1,4 @@
-"""How a core machine that is no witness finds the group, and how the group finds it."""
+"""Discovery between the group and control nodes that are not witnesses yet."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from arrowfold.replication.records import EpochRecord, newest_record
 from arrowfold.replication.timings import Timings
 
-INTRODUCTION_INTERVAL_S = 1.0  # between calls to nodes that the seeds name and the record does not
+INTRODUCTION_INTERVAL_S = 1.0  # interval between calls to seeds that the record does not list
 
 
 class GroupFinder:
-    """Looks for the group at the seeds and at every address that it hears of."""
+    """Finds the group through the seeds and through the witnesses of records received from others."""
 
     def __init__(self, own: MemberInfo, caller: Caller, clock: Clock, timings: Timings) -> None:
         self._own = own
@@ -30,15 +30,15 @@
         self.seeds: tuple[str, ...] = ()
 
     def newest(self, accepted: EpochRecord | None) -> EpochRecord | None:
-        """The newest record that this member accepted, or was told of."""
+        """The newest record that this member accepted or received."""
         return newest_record((accepted, self._newest_received))
 
     def note(self, record: EpochRecord | None) -> None:
-        """Take a record that somebody told."""
+        """Note a record received from another node."""
         self._newest_received = newest_record((self._newest_received, record))
 
     def ask_to_join(self, accepted: EpochRecord | None) -> None:
-        """Ask everyone known to be taken in, now and then."""
+        """Send a request to join to all known addresses, at most once per `join_retry_s`."""
         if self._clock() < self._next_join:
             return
         self._next_join = self._clock() + self._timings.join_retry_s
@@ -60,7 +60,7 @@
             await self._caller.call(primary.address, request, self._timings.call_s)
 
     def introduce(self, record: EpochRecord | None) -> None:
-        """Tell nodes that the seeds name, and the group does not know, where the group is."""
+        """Send the record to seeds that it does not list, so that they find the group."""
         if record is None or self._clock() < self._next_introduction:
             return
         self._next_introduction = self._clock() + INTRODUCTION_INTERVAL_S
--- a/arrowfold/replication/leaving.py
+++ b/arrowfold/replication/leaving.py
@@ -1,4 +1,4 @@
-"""Which members asked lately to be removed: they still vote, also where the newest record lacks them."""
+"""Members that recently asked to be removed; they still vote, even if the newest record lacks them."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class LeavingMembers:
-    """Members that were told to end and wait to be released, as their requests told."""
+    """The stopping members that wait to be released, known from their requests."""
 
     def __init__(self, clock: Clock, timings: Timings) -> None:
         self._clock = clock
         self._timings = timings
-        self._asked: dict[str, tuple[MemberInfo, float]] = {}
+        self._requests: dict[str, tuple[MemberInfo, float]] = {}
 
     def note(self, member: MemberInfo) -> None:
-        """A member asks to be removed."""
+        """Record a member's request to be removed."""
         now = self._clock()
-        recent = {name: entry for name, entry in self._asked.items() if self.is_leaving(name)}
-        self._asked = {**recent, member.member: (member, now)}
+        recent = {name: entry for name, entry in self._requests.items() if self.is_leaving(name)}
+        self._requests = {**recent, member.member: (member, now)}
 
     def is_leaving(self, member: str) -> bool:
-        """Whether this member asked lately."""
-        asked = self._asked.get(member)
-        return asked is not None and self._clock() - asked[1] <= self._timings.leaving_s
+        """Whether this member asked to be removed within `leaving_s`."""
+        request = self._requests.get(member)
+        return request is not None and self._clock() - request[1] <= self._timings.leaving_s
 
     def addresses(self) -> tuple[str, ...]:
-        """Where those that asked lately are reached: a record not known to be chosen may need their votes."""
-        return tuple(info.address for info, _ in self._asked.values() if self.is_leaving(info.member))
+        """Addresses of the leaving members; a record not known to be chosen may need their votes."""
+        return tuple(info.address for info, _ in self._requests.values() if self.is_leaving(info.member))
 
     def all_leaving(self, record: EpochRecord, own: str) -> bool:
-        """Whether every other witness asked lately, so that nobody is left to lead."""
+        """Whether all witnesses but `own` are leaving, so that none is left to become primary."""
         return all(self.is_leaving(member) for member in record.witness_ids() if member != own)
--- a/arrowfold/replication/messages.py
+++ b/arrowfold/replication/messages.py
@@ -1,6 +1,7 @@
-"""Messages between members of the group. Numbers are permanent; new fields are appended with defaults.
+"""Messages between members of the group.
 
-Epochs and sequences are counts; times are seconds by the steady clock of the member that the field names.
+Message numbers are permanent; new fields are appended with defaults. Epochs and sequences are counts; times
+are in seconds by the steady clock of the member that the field's description names.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 @message(60)
 @dataclass(frozen=True, slots=True)
 class PrepareEpoch:
-    """A candidate asks for a promise; `trial` asks only whether it would be given."""
+    """Asks for the promise of an epoch; with `trial`, only whether the promise would be given."""
 
     epoch: int
     candidate: MemberInfo
@@ -26,7 +27,11 @@
 @message(61)
 @dataclass(frozen=True, slots=True)
 class PrepareAnswer:
-    """Whether the promise was given, and what the member holds."""
+    """Whether the promise was given, and the member's record and log position.
+
+    `promised`: the highest epoch that the member promised; `confirmed`: `record` is known to be chosen;
+    `state_epoch`: the last epoch whose initial state the member stored; `reason`: why it refused.
+    """
 
     granted: bool
     member: MemberInfo
@@ -42,7 +47,7 @@
 @message(62)
 @dataclass(frozen=True, slots=True)
 class FetchState:
-    """The candidate of a promised epoch asks for the whole state."""
+    """Asks for the whole state, as the candidate of a promised epoch."""
 
     epoch: int
 
@@ -61,7 +66,7 @@
 @message(64)
 @dataclass(frozen=True, slots=True)
 class InstallState:
-    """Store the state with which `epoch` starts; `state` is None where `position` is held."""
+    """Asks to store the initial state of `epoch`; `state` is None if the receiver is at `position`."""
 
     epoch: int
     candidate: str
@@ -72,7 +77,7 @@
 @message(65)
 @dataclass(frozen=True, slots=True)
 class AcceptEpoch:
-    """Accept the record of an epoch; all members of its group hold its state."""
+    """Asks to accept the record of an epoch, whose state all members of its group have stored."""
 
     record: EpochRecord
 
@@ -80,7 +85,7 @@
 @message(66)
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
-    """The primary's entries after position `previous`, and how far the log is committed."""
+    """The primary's entries that follow position `previous`, and the committed sequence."""
 
     epoch: int
     previous: Position
@@ -91,7 +96,7 @@
 @message(67)
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether the receiver did as it was asked, durably; `promised` is its highest epoch."""
+    """Whether the receiver durably stored what it was sent; `promised` is its highest promised epoch."""
 
     done: bool
     promised: int
@@ -101,7 +106,11 @@
 @message(68)
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """The primary lives. `echo`: the clock reading that the receiver told last, for its authority."""
+    """The primary's heartbeat, which asks for a renewal of its lease.
+
+    `committed`: the committed sequence; `in_record`: the receiver is in the group; `echo`: the receiver's
+    last clock reading, which extends its authority, or None.
+    """
 
     epoch: int
     primary: MemberInfo
@@ -113,7 +122,7 @@
 @message(69)
 @dataclass(frozen=True, slots=True)
 class HeartbeatAnswer:
-    """Whether the receiver grants the lease, and how it is. `clock`: its own clock when it answered."""
+    """Whether the receiver grants the lease, and its state; `clock` is its own clock when it answered."""
 
     granted: bool
     member: MemberInfo
@@ -123,13 +132,13 @@
     sequence: int
     disk_healthy: bool
     clock: float
-    confirmed_epoch: int = 0  # the epoch whose record is known, on the receiver's disk, to be chosen
+    confirmed_epoch: int = 0  # highest epoch whose record is known to be chosen, on the receiver's disk
 
 
 @message(70)
 @dataclass(frozen=True, slots=True)
 class JoinRequest:
-    """A core machine that is no witness asks to be taken in."""
+    """Asks for membership, from a control node that is not a witness."""
 
     member: MemberInfo
 
@@ -137,7 +146,7 @@
 @message(71)
 @dataclass(frozen=True, slots=True)
 class JoinAnswer:
-    """The newest record that the receiver knows."""
+    """The newest record known to the receiver of a request to join."""
 
     record: EpochRecord | None
 
@@ -145,7 +154,7 @@
 @message(73)
 @dataclass(frozen=True, slots=True)
 class Introduction:
-    """The newest record of the sender, for a node that the seeds name and the record does not."""
+    """The sender's newest record, sent to a seed that the record does not list."""
 
     record: EpochRecord
 
@@ -153,7 +162,7 @@
 @message(74)
 @dataclass(frozen=True, slots=True)
 class LeaveRequest:
-    """A member that was told to end asks to be removed; it goes on voting until it is released."""
+    """Asks for removal, from a stopping member; it keeps voting until it is released."""
 
     member: MemberInfo
 
@@ -161,7 +170,7 @@
 @message(75)
 @dataclass(frozen=True, slots=True)
 class LeaveAnswer:
-    """Whether the member may end, as the primary decides; and the newest record that the receiver knows."""
+    """Whether the primary releases the member, and the newest record known to the receiver."""
 
     released: bool
     record: EpochRecord | None
@@ -170,7 +179,7 @@
 @message(72)
 @dataclass(frozen=True, slots=True)
 class Departing:
-    """The sender's term ended by itself: it hands over its lease."""
+    """Announces that the sender's term has ended and that its lease is released."""
 
     epoch: int
     member: str
--- a/arrowfold/replication/ports.py
+++ b/arrowfold/replication/ports.py
@@ -1,4 +1,4 @@
-"""What replication needs of the world, so that the same code runs under simulation."""
+"""The interfaces that replication depends on; a simulation provides its own implementations."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Caller(Protocol):
-    """Calls to other nodes; `ChannelClient` is one."""
+    """Sends requests to other nodes; implemented by `ChannelClient`."""
 
     async def call(self, address: str, request: Any, timeout_s: float) -> Result[Any, ChannelError]:
-        """The peer's answer, or why there is none."""
+        """Returns the peer's answer, or the error if there is none within `timeout_s`."""
 
 
 class EventLog(Protocol):
-    """Structured events; `RateLimitedLog` is one."""
+    """A log of structured events; implemented by `RateLimitedLog`."""
 
     def info(self, event: str, **fields: Any) -> None:
-        """What an operator may want to see on an ordinary day."""
+        """Log an event of normal operation."""
 
     def warning(self, event: str, **fields: Any) -> None:
-        """What an operator should look at."""
+        """Log an event that needs an operator's attention."""
--- a/arrowfold/replication/proposals.py
+++ b/arrowfold/replication/proposals.py
@@ -1,4 +1,4 @@
-"""What the control plane asks of replication, whichever member it runs on."""
+"""The interface between the control plane and replication."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Proposal(Generic[AnswerT]):
-    """A decision on the newest state: an entry to commit, or none, and the answer once it is committed."""
+    """The result of a decision on the newest state: an optional entry to commit, and the caller's answer.
+
+    The answer is given only after the entry is committed.
+    """
 
     answer: AnswerT
     entry: Entry | None = None
@@ -35,11 +38,11 @@
 
 
 class ReplicaPort(Protocol):
-    """The replicated control state as one member of the group offers it."""
+    """One member's interface to the replicated control state."""
 
     @property
     def committed(self) -> ControlState:
-        """The newest state that is known to be committed; only this may be distributed."""
+        """The newest state known to be committed; only this state may be distributed."""
 
     @property
     def epoch(self) -> int:
@@ -50,19 +53,22 @@
         """This member's identity."""
 
     def members(self) -> tuple[MemberInfo, ...]:
-        """The members of the group, as the newest record has them."""
+        """The witnesses of the newest record known."""
 
     def primary(self) -> MemberInfo | None:
         """The primary of the newest epoch known, whether or not it is alive."""
 
     def is_primary(self) -> bool:
-        """Whether this member is the active primary and its lease holds at this moment."""
+        """Whether this member is the active primary and holds its lease at this moment."""
 
     def is_current(self) -> bool:
-        """Whether `committed` was confirmed by the primary lately."""
+        """Whether the primary recently confirmed that `committed` is the whole committed state."""
 
     def state_age_s(self) -> float | None:
-        """`committed` holds all that was acknowledged so many seconds ago; None if that can't be told."""
+        """Age bound of `committed` in seconds: it contains every change acknowledged at least this long ago.
+
+        None if no bound is known.
+        """
 
     async def propose(self, decide: Decide[AnswerT]) -> Result[AnswerT, ReplicationFault]:
-        """As the primary: decide on the newest state, commit, and answer under a lease that holds."""
+        """On the primary: decide on the newest state, commit the entry, and answer under a valid lease."""
--- a/arrowfold/replication/records.py
+++ b/arrowfold/replication/records.py
@@ -1,4 +1,4 @@
-"""Epochs, who decides them, and what one member keeps on its disk."""
+"""Epoch records, quorums, and the state that a member persists as a log of records."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 from arrowfold.replication.state import ControlState, Entry, apply_entry
 
 NO_EPOCH = 0
-SEED_PREFIX = "@"  # a founder counts in a quorum of seeds by this and its address
+SEED_PREFIX = "@"  # prefix of the voter name by which a seed counts in the bootstrap quorum: "@address"
 
 
 @message(55)
 @dataclass(frozen=True, slots=True)
 class Quorum:
-    """A set of voters, by the names that `voter_names` gives."""
+    """A set of voters, identified by the names that `voter_names` returns."""
 
     voters: tuple[str, ...]
 
     def has_majority(self, votes: Collection[str]) -> bool:
-        """Whether the votes hold a majority of this set."""
+        """Whether the votes include a majority of this set."""
         return 2 * sum(voter in votes for voter in self.voters) > len(self.voters)
 
 
 @message(47)
 @dataclass(frozen=True, slots=True)
 class EpochRecord:
-    """One epoch: its primary, the group that holds the state, the witnesses that decide what follows.
+    """One epoch: its primary, the group that stores the state, and the witnesses that decide failover.
 
-    It is chosen once a majority of each of `quorums` has accepted it, and it takes the promise of a
-    majority of each to supersede it while it is not known to be chosen. The last set are its witnesses.
-    `former`: voters of the other sets that are no witnesses any more; their promises count until then.
+    The record is chosen once a majority of each of `quorums` has accepted it. While it is not known to be
+    chosen, superseding it takes promises from a majority of each quorum; the last quorum is the record's
+    own witnesses, and suffices after that. `former`: voters of the other quorums that are not witnesses of
+    this record; their promises count until the record is known to be chosen.
     """
 
     epoch: int
@@ -43,7 +44,7 @@
     former: tuple[MemberInfo, ...] = ()
 
     def voters(self) -> tuple[MemberInfo, ...]:
-        """Everyone whose promise may be needed to supersede it."""
+        """All members whose promise may be needed to supersede this record."""
         return (*self.witnesses, *self.former)
 
     def witness_ids(self) -> tuple[str, ...]:
@@ -51,52 +52,52 @@
         return tuple(witness.member for witness in self.witnesses)
 
     def find(self, member: str) -> MemberInfo | None:
-        """The witness of this identity."""
+        """The witness with this identity, or None."""
         return next((witness for witness in self.witnesses if witness.member == member), None)
 
 
 def newest_record(records: Iterable[EpochRecord | None]) -> EpochRecord | None:
-    """The record of the highest epoch, if there is any."""
+    """The record with the highest epoch, or None if there is none."""
     known = [record for record in records if record is not None]
     return max(known, key=lambda record: record.epoch) if known else None
 
 
 def voter_names(member: MemberInfo, founder: bool) -> tuple[str, ...]:
-    """The names under which a member counts in quorums: its identity and, for a founder, its address."""
+    """The names by which a member counts in quorums: its identity and, if `founder`, its seed address."""
     return (member.member, SEED_PREFIX + member.address) if founder else (member.member,)
 
 
 def has_majorities(quorums: tuple[Quorum, ...], votes: Collection[str]) -> bool:
-    """Whether the votes hold a majority of every set."""
+    """Whether the votes include a majority of every quorum."""
     return all(quorum.has_majority(votes) for quorum in quorums)
 
 
 def merged_quorums(quorums: tuple[Quorum, ...], more: Quorum) -> tuple[Quorum, ...]:
-    """The sets with one more at the end; a set that is there already is not repeated."""
+    """The quorums with `more` moved or added to the end; an equal quorum is not repeated."""
     return (*(quorum for quorum in quorums if set(quorum.voters) != set(more.voters)), more)
 
 
 @message(48)
 @dataclass(frozen=True, slots=True)
 class Position:
-    """How far a state is: the epoch in which its last entry was written, and how many entries it has."""
+    """A log position: the epoch in which the last entry was written, and the number of entries."""
 
     epoch: int = NO_EPOCH
     sequence: int = 0
 
     def key(self) -> tuple[int, int]:
-        """Orders the positions of members of one group."""
+        """Sort key that orders the positions of members of one group."""
         return (self.epoch, self.sequence)
 
 
 @message(49)
 @dataclass(frozen=True, slots=True)
 class MemberImage:
-    """Everything that a member must not forget.
+    """The persisted state of a member.
 
-    `promised` and `promised_to`: the highest epoch promised, and to which candidate. `state_epoch`: the
-    epoch at whose start, or in which, this member stored the whole state; `position_epoch`: when its last
-    entry was written.
+    `promised` and `promised_to`: the highest epoch promised, and its candidate. `record` and `confirmed`: the
+    last accepted record, and whether it is known to be chosen. `state_epoch`: the last epoch for which this
+    member stored the whole initial state; `position_epoch`: the epoch in which its last entry was written.
     """
 
     promised: int = NO_EPOCH
@@ -109,11 +110,11 @@
 
     @property
     def position(self) -> Position:
-        """How far the stored state is."""
+        """The log position of the stored state."""
         return Position(self.position_epoch, self.state.sequence)
 
     def superseding_quorums(self) -> tuple[Quorum, ...]:
-        """Whose majorities must promise before this record may be superseded."""
+        """The quorums of which majorities must promise before this record may be superseded."""
         if self.record is None:
             return ()
         return self.record.quorums[-1:] if self.confirmed else self.record.quorums
@@ -122,7 +123,7 @@
 @message(50)
 @dataclass(frozen=True, slots=True)
 class PromiseStored:
-    """Log record: a promise to take no part in epochs below this one."""
+    """Log record: a promise to a candidate not to take part in lower epochs."""
 
     epoch: int
     candidate: str
@@ -147,7 +148,7 @@
 @message(53)
 @dataclass(frozen=True, slots=True)
 class StateInstalled:
-    """Log record: the state with which an epoch starts; None where the member held exactly that state."""
+    """Log record: the initial state of an epoch; None if the member already stored exactly that state."""
 
     epoch: int
     position_epoch: int
@@ -167,7 +168,7 @@
 
 
 def apply_record(image: MemberImage, record: LogRecord) -> MemberImage:
-    """The image after one more log record."""
+    """The member's state after one more log record."""
     if isinstance(record, PromiseStored):
         return replace(image, promised=record.epoch, promised_to=record.candidate)
     if isinstance(record, RecordAccepted):
--- a/arrowfold/replication/replica.py
+++ b/arrowfold/replication/replica.py
@@ -164,8 +164,8 @@
     async def _grant_next_role(self, term: PrimaryTerm) -> None:
         """Propose the grant of one role that needs a holder, if there is one."""
         state = self.committed
-        wanted = self._required_roles(state)
-        grant = next_grant(state, wanted, term.eligible_members(), term.authority_ended, self._companion)
+        required = self._required_roles(state)
+        grant = next_grant(state, required, term.eligible_members(), term.authority_ended, self._companion)
         if grant is None:
             return
         passed = await term.propose(propose_grant(grant, state))
--- a/arrowfold/replication/roles.py
+++ b/arrowfold/replication/roles.py
@@ -1,8 +1,8 @@
-"""Fenced roles: who may act under a role at this moment, and how the primary passes roles on.
+"""Roles with fencing tokens: which member may act under a role, and how the primary reassigns roles.
 
-A role's tenure (holder and fencing token) is part of the replicated state. To act, a holder needs more than
-the tenure: its *authority*, which it has while it is in touch with the primary. The primary passes a role on
-only after the old holder's authority has ended, and the new holder waits besides (`hand_over_wait_s`).
+A role's tenure (holder and fencing token) is part of the replicated state. To act, a holder also needs
+*authority*, a lease that the primary's heartbeats extend. The primary reassigns a role only after the old
+holder's authority has expired, and the new holder waits in addition (`hand_over_wait_s`).
 """
 
 from __future__ import annotations
@@ -16,12 +16,15 @@
 from arrowfold.replication.proposals import Proposal, ReplicaPort
 from arrowfold.replication.state import ControlState, RoleGrant
 
-HANDOVER_MARGIN_S = 0.1  # beyond `hand_over_wait_s`, before a new holder acts
+HANDOVER_MARGIN_S = 0.1  # added to `hand_over_wait_s` before a new holder acts
 
 
 @dataclass(frozen=True, slots=True)
 class HeldRole:
-    """A role under which this member may act until `authority_until` by its steady clock."""
+    """A role held by this member, with its fencing token.
+
+    The member may act from `since` until `authority_until`, both in seconds by its steady clock.
+    """
 
     role: str
     token: int
@@ -30,35 +33,36 @@
 
 
 class HandoverBounds(Protocol):
-    """The figures of the operating rules that a hand-over keeps to."""
+    """The limits of the operating rules that apply to a handover of a role."""
 
     @property
     def leaseMs(self) -> float:
-        """Within which no two holders may give orders by turns."""
+        """Interval within which two holders must not issue orders alternately."""
 
     @property
     def contactMs(self) -> float:
-        """For how long after trouble a machine, and the core, do not count as in touch."""
+        """Time after a failure for which a node, and the control plane, do not count as in contact."""
 
     @property
     def fencingChecked(self) -> bool:
-        """Whether workers refuse a fencing token below one that they have seen."""
+        """Whether workers reject a fencing token lower than the highest one they have received."""
 
 
 def hand_over_wait_s(bounds: HandoverBounds, arrival_s: float) -> float:
-    """How long a new holder of a role waits once its predecessor's authority has ended.
+    """Seconds that a new holder of a role waits after its predecessor's authority has expired.
 
-    `arrival_s`: how long an order of the predecessor may still be on its way. Where workers check fences, a
-    late order of the predecessor does no harm, and turns count only among holders in touch. A role passes on
-    only from a member that failed, which leaves it, and the core, out of touch for `contactMs`; the rest of
-    `leaseMs` is waited out. Where workers don't check, all of it is.
+    `arrival_s`: the maximum time that an order of the predecessor may still be in transit. If workers check
+    fencing tokens, a late order of the predecessor is harmless, and alternating orders count only among
+    holders in contact. A role is reassigned only after its holder has failed, which puts that holder, and the
+    control plane, out of contact for `contactMs`, so that only the rest of `leaseMs` has to pass. If workers
+    don't check, all of `leaseMs` has to pass.
     """
     exempt_ms = bounds.contactMs if bounds.fencingChecked else 0.0
     return max(0.0, bounds.leaseMs - exempt_ms) / 1000 + arrival_s
 
 
 class RoleAuthority:
-    """Tells whether this member may act under a role; to be asked before every order."""
+    """Decides whether this member may act under a role; must be checked before every order."""
 
     def __init__(
         self,
@@ -71,15 +75,15 @@
         self._clock = clock
         self._authority_until = authority_until
         self._wait_s = hand_over_s + HANDOVER_MARGIN_S
-        self._first_seen: dict[int, float] = {}  # when this member first saw each of its tokens
+        self._first_seen: dict[int, float] = {}  # by fencing token: when this member first saw its tenure
 
     @property
     def holder(self) -> str:
-        """The name under which this member acts."""
+        """The identity under which this member acts."""
         return self._replica.member
 
     def observe(self) -> None:
-        """Note new tenures; call it whenever the committed state changed."""
+        """Record new tenures; must be called whenever the committed state has changed."""
         own = {
             tenure.token: tenure
             for tenure in self._replica.committed.roles.values()
@@ -89,12 +93,15 @@
         self._first_seen = {token: self._first_seen.get(token, now) for token in own}
 
     def is_tenured(self, role: str, token: int) -> bool:
-        """Whether the committed state known here gives this member the role under this token."""
+        """Whether the committed state known here assigns the role to this member under this token."""
         tenure = self._replica.committed.roles.get(role)
         return tenure is not None and (tenure.member, tenure.token) == (self._replica.member, token)
 
     def tenure(self, role: str) -> HeldRole | None:
-        """This member's tenure of a role, whether or not it may act under it yet; no authority is told."""
+        """This member's tenure of a role, or None; `authority_until` is always 0 here.
+
+        The tenure is returned whether or not the member may act under it yet.
+        """
         tenure = self._replica.committed.roles.get(role)
         if tenure is None or tenure.member != self._replica.member:
             return None
@@ -104,7 +111,7 @@
         return HeldRole(role, tenure.token, first_seen + (self._wait_s if tenure.previous else 0.0), 0.0)
 
     def held(self, role: str) -> HeldRole | None:
-        """This member's tenure of a role, if it may act under it at this moment."""
+        """This member's tenure of a role if it may act under it now, else None."""
         tenure = self.tenure(role)
         if tenure is None or not self._replica.is_current():
             return None
@@ -116,7 +123,7 @@
 
 
 class HeldRoleLease:
-    """One tenure of a role as its holder uses it."""
+    """A holder's handle on one tenure of a role."""
 
     def __init__(self, authority: RoleAuthority, held: HeldRole, clock: Clock) -> None:
         self._authority = authority
@@ -130,15 +137,15 @@
 
     @property
     def holder(self) -> str:
-        """The name under which this member acts."""
+        """The identity under which this member acts."""
         return self._authority.holder
 
     def is_tenured(self) -> bool:
-        """Whether the role is still this member's under this token, as far as it knows."""
+        """Whether this member still holds the role under this token, as far as it knows."""
         return self._authority.is_tenured(self._held.role, self._held.token)
 
     def remaining_s(self) -> float:
-        """How much longer this member surely may act; 0 while it may not."""
+        """Time for which this member may certainly act, in seconds; 0 if it may not act now."""
         held = self._authority.held(self._held.role)
         if held is None or held.token != self._held.token:
             return 0.0
@@ -146,30 +153,31 @@
 
 
 def preferred_holder(role: str, members: tuple[str, ...]) -> str | None:
-    """The member that a role falls to by rendezvous hashing."""
+    """The member that rendezvous hashing assigns to a role, or None if there are no members."""
     if not members:
         return None
     return max(members, key=lambda member: hashlib.sha256(f"{role}\n{member}".encode()).digest())
 
 
 def no_companion(_role: str) -> str | None:
-    """Every role falls to a member by its own name."""
+    """The default for `companion`: no role shares its holder with another."""
     return None
 
 
 def next_grant(
     state: ControlState,
-    wanted: tuple[str, ...],
+    required: tuple[str, ...],
     eligible: tuple[str, ...],
     authority_ended: Callable[[str], bool],
     companion: Callable[[str], str | None] = no_companion,
 ) -> RoleGrant | None:
-    """The next role to pass on: to a fit member, once the authority of the one that holds it has ended.
+    """The next role to assign to an eligible member, or None.
 
-    `companion`: the role whose holder is to hold this one, too; a role waits until its companion's holder is
-    fit, and falls to a member by its own name where the companion has no holder.
+    A role is reassigned once its holder is not eligible and that holder's authority has expired. `companion`
+    returns the role that a role should share its holder with, or None. A role waits until its companion's
+    holder is eligible; if the companion has no holder, rendezvous hashing by the role's own name decides.
     """
-    for role in wanted:
+    for role in required:
         tenure = state.roles.get(role)
         if tenure is not None and (tenure.member in eligible or not authority_ended(tenure.member)):
             continue
@@ -183,7 +191,7 @@
 
 
 def propose_grant(grant: RoleGrant, seen: ControlState) -> Callable[[ControlState], Proposal[None]]:
-    """A proposal that passes a role on unless its tenure changed meanwhile."""
+    """A proposal that assigns a role, unless its tenure has changed since `seen`."""
 
     def decide(state: ControlState) -> Proposal[None]:
         if state.roles.get(grant.role) != seen.roles.get(grant.role):
--- a/arrowfold/replication/state.py
+++ b/arrowfold/replication/state.py
@@ -24,18 +24,19 @@
 
 KeyT = TypeVar("KeyT")
 ValueT = TypeVar("ValueT")
-REMEMBERED_CHANGES = 2_048  # digests of accepted changes, kept to acknowledge a change that is sent again
-REMEMBERED_DEPARTURES = 4_096  # workers that said that they leave; identifiers are never used twice
-REMEMBERED_DELTAS = 128  # steps between configurations, kept for pullers that lack only these
-REMEMBERED_DELTA_BYTES = 256 * 1024
+REMEMBERED_CHANGES = 2_048  # digests of accepted changes, kept to recognise a change that is sent again
+REMEMBERED_DEPARTURES = 4_096  # workers that announced their departure; identifiers are never reused
+REMEMBERED_DELTAS = 128  # configuration patches kept for pullers that are only a few versions behind
+REMEMBERED_DELTA_BYTES = 256 * 1024  # maximum total size of these patches
 
 
 @message(40)
 @dataclass(frozen=True, slots=True)
 class ConfigurationStep:
-    """Log entry: the operator's change, as the whole document or as the patch that leads to it.
+    """Log entry: a configuration change by the operator, as a whole document or as a patch.
 
-    One of the two is None; of a patch, the receiver makes the document from the one before it.
+    Exactly one of `document` and `patch` is set; a patch applies to the previous document. `digest`
+    identifies the change, so that one that is sent again is recognised.
     """
 
     version: int
@@ -47,7 +48,7 @@
 @message(41)
 @dataclass(frozen=True, slots=True)
 class DepartureNotice:
-    """Log entry: a worker said that it drains or is gone."""
+    """Log entry: a worker announced that it is draining or has terminated."""
 
     instance: str
     state: str
@@ -57,7 +58,7 @@
 @message(42)
 @dataclass(frozen=True, slots=True)
 class RoleGrant:
-    """Log entry: a fenced role passes to a member, under the next fencing token."""
+    """Log entry: assigns a role to a member under the next fencing token."""
 
     role: str
     member: str
@@ -69,7 +70,7 @@
 @message(43)
 @dataclass(frozen=True, slots=True)
 class Departure:
-    """What a departing worker last said, and the position at which it was committed."""
+    """The last state announced by a departing worker, and the log sequence of that entry."""
 
     sequence: int
     state: str
@@ -79,7 +80,7 @@
 @message(44)
 @dataclass(frozen=True, slots=True)
 class RoleTenure:
-    """Who holds a fenced role, and under which token. `previous`: another holder before it, or empty."""
+    """The holder of a role and its fencing token; `previous` is the different holder before it, or empty."""
 
     member: str
     token: int
@@ -89,7 +90,10 @@
 @message(45)
 @dataclass(frozen=True, slots=True)
 class ConfigurationPatch:
-    """One step between two configurations, kept for distribution; its base is that of `base_sequence`."""
+    """A patch between two configurations, kept for distribution.
+
+    It applies to the configuration of `base_version`, committed at log sequence `base_sequence`.
+    """
 
     sequence: int
     base_version: int
@@ -101,7 +105,7 @@
 @message(46)
 @dataclass(frozen=True, slots=True)
 class ControlState:
-    """Everything that replication protects, at position `sequence` of the log."""
+    """The whole replicated state at log sequence `sequence`."""
 
     sequence: int = 0
     configuration: bytes | None = None
@@ -116,7 +120,7 @@
 
 
 def _with_newest(items: dict[KeyT, ValueT], key: KeyT, value: ValueT, limit: int) -> dict[KeyT, ValueT]:
-    """A copy in which `key` is the newest item, and the oldest beyond `limit` are gone."""
+    """A copy with `key` as the newest item; the oldest items beyond `limit` are removed."""
     copy = {other: kept for other, kept in items.items() if other != key}
     copy[key] = value
     while len(copy) > limit:
@@ -125,7 +129,7 @@
 
 
 def _newest_patches(patches: tuple[ConfigurationPatch, ...]) -> tuple[ConfigurationPatch, ...]:
-    """The newest steps, bounded in number and in bytes."""
+    """The newest patches, bounded in number and in total bytes."""
     kept = patches[-REMEMBERED_DELTAS:]
     while sum(len(step.patch) for step in kept) > REMEMBERED_DELTA_BYTES:
         kept = kept[1:]
@@ -133,7 +137,10 @@
 
 
 def patched_document(document: bytes, patch: bytes) -> bytes:
-    """The document that a committed patch leads to; the same bytes on every member."""
+    """Apply a committed patch to a document; yields the same bytes on every member.
+
+    Raises ValueError if the patch can't be applied.
+    """
     value = read_object(document).and_then(lambda base: apply_delta_value(base, patch))
     if isinstance(value, Err):
         raise ValueError(f"a committed patch can't be applied: {value.err_value}")
--- a/arrowfold/replication/usage_ledger.py
+++ b/arrowfold/replication/usage_ledger.py
@@ -1,7 +1,7 @@
-"""The usage windows in the replicated state: what was decided, and what the platform has yet to accept.
+"""The usage windows in the replicated state: decided counts, and those not yet accepted by the platform.
 
-Windows are decided in rising order, each once. To decide one settles all before it: what was not decided by
-then never is.
+Windows are decided in ascending order, each at most once. Deciding a window settles all earlier ones: a
+window that was skipped is never decided.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 from arrowfold.internal.codec import message
 
-MAX_PENDING_WINDOWS = 720  # windows that were decided and not reported; of more, the oldest are given up
-REPORTED_WINDOWS_KEPT = 4  # windows that were reported, kept with their counts to look at
+MAX_PENDING_WINDOWS = 720  # decided but unreported windows; beyond that the oldest are dropped
+REPORTED_WINDOWS_KEPT = 4  # reported windows whose counts are kept for inspection
 NONE_DECIDED = -1
 
 
 @message(90)
 @dataclass(frozen=True, slots=True)
 class UsageWindowDecided:
-    """Log entry: these are a window's counts for good, by tenant."""
+    """Log entry: the final counts of a window, by tenant."""
 
     window: int
     counts: dict[str, int]
@@ -38,9 +38,10 @@
 @message(92)
 @dataclass(frozen=True, slots=True)
 class UsageLedger:
-    """The windows up to `decided_through` are settled; of these, `pending` are decided and not reported.
+    """Usage counts by window and tenant; all windows up to `decided_through` are settled.
 
-    `pending` and `reported` (the newest few) hold the counts by window, in rising order.
+    `pending` holds the windows that are decided but not reported, `reported` the newest reported ones, both
+    in ascending order of windows.
     """
 
     decided_through: int = NONE_DECIDED
@@ -48,20 +49,20 @@
     reported: dict[int, dict[str, int]] = field(default_factory=dict)
 
     def is_settled(self, window: int) -> bool:
-        """Whether a window's counts can't be decided any longer."""
+        """Whether a window's counts can no longer be decided."""
         return window <= self.decided_through
 
     def counts(self, window: int) -> dict[str, int] | None:
-        """The counts that were decided, or None if there are none or they are forgotten."""
+        """The decided counts of a window by tenant, or None if there are none or they were dropped."""
         return self.pending.get(window, self.reported.get(window))
 
     def oldest_pending(self) -> int | None:
-        """The first window that the platform has yet to accept."""
+        """The first window that the platform has not yet accepted, or None."""
         return min(self.pending, default=None)
 
 
 def apply_usage(ledger: UsageLedger, entry: UsageEntry) -> UsageLedger:
-    """The ledger after one more log entry; a second decision of a window changes nothing."""
+    """The ledger after one more log entry; deciding a settled window again has no effect."""
     if isinstance(entry, UsageWindowDecided):
         return _with_decided(ledger, entry)
     return _with_reported(ledger, entry.window)
--- a/tests/system/test_control_guards.py
+++ b/tests/system/test_control_guards.py
@@ -153,7 +153,7 @@
 def test_a_primary_with_its_disk_in_trouble_hands_over() -> None:
     async def act(world: World, primary: Machine) -> None:
         term = _term(primary)
-        _replica(primary).group_member.durable.is_healthy = lambda patience_s: False  # type: ignore[method-assign]
+        _replica(primary).group_member.durable.is_healthy = lambda timeout_s: False  # type: ignore[method-assign]
         term.tick()
         assert term.ended and term.hands_over
 
