--- a/arrowfold/membership/__init__.py
+++ b/arrowfold/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which backend servers a node works with: of a large list a part, the same for some nodes. No I/O."""
+"""Selects the subset of a large worker list that a node works with. No I/O."""
--- a/arrowfold/membership/part.py
+++ b/arrowfold/membership/part.py
@@ -1,13 +1,14 @@
-"""A node's part of a large list: deterministic subsetting by zone and name, even over the nodes.
+"""A node's subset of a large worker list: deterministic subsetting by zone and name.
 
-It holds all servers of the node's own zone and a slice of the others, as long as there are not too many; a
-list that is short enough is its own part. A slice is a power of two's share of the list by a hash of the
-names, and the node's number says which: nodes whose numbers agree in the low bits share one. So they still
-name the same homes for a key, and each server has about as many nodes as any other. When the list grows,
-slices split in two; nobody moves to another half.
+A list no longer than TARGET_SIZE is used whole. Of a longer one, the subset holds all workers of the node's
+own zone and a slice of the other zones; the own zone is sliced as well if it is too large. A slice is a
+fraction (a power of two) of the list, chosen by a hash of the workers' names and the node's number: nodes
+whose numbers agree in the low bits share a slice. They therefore compute the same affinity worker for a key,
+and each worker is used by about the same number of nodes. When the list grows, slices split in two, and no
+worker moves from one half to the other.
 
-A server that is in no part stays in the server table: a drain, a call out, the end of what runs there are
-as before.
+A worker outside the subset stays in the worker table, so draining it, taking it out of service and finishing
+its running requests work as before.
 """
 
 from __future__ import annotations
@@ -18,116 +19,130 @@
 
 from arrowfold import interface as api
 
-MOST = 512  # servers in a part, about; a list no longer than this is its own part
-LEAST_SIDE = 256  # of these, the own zone and all others may have so many, whatever the other side has
-LEAST = 4  # servers of each zone and kind that are kept: a class or a route may be bound to them
-SLACK = 0.8  # slices are joined again once the joined ones hold no more than this part of the most
-HASH_BITS = 16  # slices are at most this fine
+TARGET_SIZE = 512  # approximate maximum number of workers in a subset
+MIN_SIDE_SIZE = 256  # always allowed for the own zone, and for all others, however large the other side is
+MIN_GROUP_SIZE = 4  # minimum workers per zone and kind, since a class or a route may be bound to one of these
+MERGE_RATIO = 0.8  # slices are merged when the merged slice holds at most this fraction of the limit
+HASH_BITS = 16  # maximum number of splits
 
 Group = tuple[str, str]
 
 
-def mark(name: str) -> int:
-    """Where a name falls; slices take its low bits, in which the high ones are mixed."""
+def name_hash(name: str) -> int:
+    """The hash of a worker's name; slices use its low bits, so the high bits are mixed into them."""
     value = crc32(name.encode())
     return (value ^ value >> 16) & ((1 << HASH_BITS) - 1)
 
 
-def splits(count: int, most: int, now: int) -> int:
-    """How often a list is split: as before, unless slices are over the most, or joined ones well under."""
-    while count >> now > most and now < HASH_BITS:
-        now += 1
-    while now and count >> now - 1 <= most * SLACK:
-        now -= 1
-    return now
+def split_count(count: int, limit: int, current: int) -> int:
+    """How often a list of `count` workers is split so that a slice holds at most `limit`.
+
+    Returns `current` unless slices exceed `limit` or merged slices are well below it (hysteresis).
+    """
+    while count >> current > limit and current < HASH_BITS:
+        current += 1
+    while current and count >> current - 1 <= limit * MERGE_RATIO:
+        current -= 1
+    return current
 
 
 class Part:
-    """The part of one node.
+    """The subset of one node.
 
-    A change costs what it is large, and a look at each zone and kind; one that splits or joins slices also
-    looks at all servers of those concerned. Memory: about 200 bytes, and its entry, for each server listed.
+    The cost of an update is proportional to its size plus the number of zones and kinds; an update that
+    splits or merges slices also visits all workers of the affected groups. Memory: about 200 bytes, and its
+    entry, for each worker listed.
     """
 
-    def __init__(self, zone: str, number: int, kept: Callable[[str], bool] = lambda name: False) -> None:
+    def __init__(
+        self, zone: str, number: int, is_always_member: Callable[[str], bool] = lambda name: False
+    ) -> None:
+        """`is_always_member` selects workers that are always in the subset: no other node may know them."""
         self.zone, self.number = zone, number
-        self.kept = kept  # servers that are always within: nobody else may know of them
-        self.entries: dict[str, api.RosterEntry] = {}  # the whole list but for those that are gone
-        self.groups: dict[Group, dict[str, None]] = {}  # their names by zone and kind
-        self.within: set[str] = set()  # those that the module knows of
-        self.near = self.far = 0  # how often the own zone and the others are split
-        self.fine: dict[Group, int] = {}  # and each zone and kind, where that leaves few
+        self.is_always_member = is_always_member
+        self.entries: dict[str, api.RosterEntry] = {}  # the whole list except terminated workers
+        self.groups: dict[Group, dict[str, None]] = {}  # names of the workers by zone and kind
+        self.members: set[str] = set()  # workers in the subset, as reported to the module
+        self.own_zone_splits = self.other_zone_splits = 0  # how often the own zone and the others are split
+        self.group_splits: dict[Group, int] = {}  # splits per zone and kind; fewer where workers are few
 
     def take(self, update: api.RosterUpdate) -> api.RosterUpdate:
-        """What the module is to be told of a list, or of a change of one."""
+        """Apply a whole or partial list; returns the update of the subset to pass to the module."""
         if update.mode is api.RosterMode.ERROR:
             return update
-        told = {entry.worker: entry for entry in update.entries}
+        updated = {entry.worker: entry for entry in update.entries}
         if update.mode is not api.RosterMode.PARTIAL:
-            for name in self.entries.keys() - told.keys():
-                self._drop(name)
-            self.within &= told.keys()
+            for name in self.entries.keys() - updated.keys():
+                self._remove(name)
+            self.members &= updated.keys()
         for entry in update.entries:
-            self._enter(entry)
-        for group in self._split():
-            told |= {name: self.entries[name] for name in self.groups[group]}
-        rows = [row for entry in told.values() for row in self._seen(entry)]
+            self._add(entry)
+        for group in self._update_splits():
+            updated |= {name: self.entries[name] for name in self.groups[group]}
+        rows = [row for entry in updated.values() for row in self._visible_entry(entry)]
         if update.mode is not api.RosterMode.PARTIAL:
-            rows = [row for row in rows if row.worker in self.within]
+            rows = [row for row in rows if row.worker in self.members]
         return replace(update, entries=tuple(rows))
 
     def move(self, zone: str, number: int) -> api.RosterUpdate:
-        """The node has another place: what the module is to be told."""
+        """Change the node's zone and number; returns the update of the subset to pass to the module."""
         self.zone, self.number = zone, number
         return self.take(api.RosterUpdate(api.RosterMode.PERSISTED, tuple(self.entries.values())))
 
-    def _enter(self, entry: api.RosterEntry) -> None:
+    def _add(self, entry: api.RosterEntry) -> None:
         known = self.entries.get(entry.worker)
         if known is not None and (known.zone, known.kind) != (entry.zone, entry.kind):
-            self._drop(entry.worker)
+            self._remove(entry.worker)
         if entry.lifecycle is api.Lifecycle.TERMINATED:
-            self._drop(entry.worker)
+            self._remove(entry.worker)
         else:
             self.entries[entry.worker] = entry
             self.groups.setdefault((entry.zone, entry.kind), {})[entry.worker] = None
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         entry = self.entries.pop(name, None)
         if entry is not None:
             group = entry.zone, entry.kind
             del self.groups[group][name]
             if not self.groups[group]:
                 del self.groups[group]
-                self.fine.pop(group, None)
+                self.group_splits.pop(group, None)
 
-    def _seen(self, entry: api.RosterEntry) -> Iterator[api.RosterEntry]:
-        """An entry as the module is to hear of it: as it is, gone once it left the part, or not at all."""
-        if entry.worker in self.entries and self._holds(entry):
-            self.within.add(entry.worker)
+    def _visible_entry(self, entry: api.RosterEntry) -> Iterator[api.RosterEntry]:
+        """The entry as the module receives it: unchanged, as terminated once it left the subset, or none."""
+        if entry.worker in self.entries and self._contains(entry):
+            self.members.add(entry.worker)
             yield entry
-        elif entry.worker in self.within:
-            self.within.discard(entry.worker)
+        elif entry.worker in self.members:
+            self.members.discard(entry.worker)
             yield replace(entry, lifecycle=api.Lifecycle.TERMINATED)
 
-    def _holds(self, entry: api.RosterEntry) -> bool:
-        low = (1 << self.fine.get((entry.zone, entry.kind), 0)) - 1
-        return (mark(entry.worker) ^ self.number) & low == 0 or self.kept(entry.worker)
-
-    def _split(self) -> Iterable[Group]:
-        """Split or join slices as the list has grown or shrunk; the groups whose servers change sides."""
-        near = sum(len(names) for (zone, _), names in self.groups.items() if zone == self.zone)
-        far = len(self.entries) - near
-        self.near = splits(near, max(LEAST_SIDE, MOST - far), self.near)
-        self.far = splits(far, max(LEAST_SIDE, MOST - near), self.far)
+    def _contains(self, entry: api.RosterEntry) -> bool:
+        low = (1 << self.group_splits.get((entry.zone, entry.kind), 0)) - 1
+        return (name_hash(entry.worker) ^ self.number) & low == 0 or self.is_always_member(entry.worker)
+
+    def _update_splits(self) -> Iterable[Group]:
+        """Split or merge slices as the list grows or shrinks; returns the groups whose slices changed."""
+        own_count = sum(len(names) for (zone, _), names in self.groups.items() if zone == self.zone)
+        other_count = len(self.entries) - own_count
+        self.own_zone_splits = split_count(
+            own_count, max(MIN_SIDE_SIZE, TARGET_SIZE - other_count), self.own_zone_splits
+        )
+        self.other_zone_splits = split_count(
+            other_count, max(MIN_SIDE_SIZE, TARGET_SIZE - own_count), self.other_zone_splits
+        )
         changed = []
         for group, names in self.groups.items():
-            most, now = (self.near if group[0] == self.zone else self.far), self.fine.get(group, 0)
-            often = min(most, now)
-            while often < most and len(names) >> often + 1 >= LEAST * 2:
-                often += 1
-            while often and len(names) >> often < LEAST:
-                often -= 1
-            if often != now:
+            max_splits, current = (
+                (self.own_zone_splits if group[0] == self.zone else self.other_zone_splits),
+                self.group_splits.get(group, 0),
+            )
+            splits = min(max_splits, current)
+            while splits < max_splits and len(names) >> splits + 1 >= MIN_GROUP_SIZE * 2:
+                splits += 1
+            while splits and len(names) >> splits < MIN_GROUP_SIZE:
+                splits -= 1
+            if splits != current:
                 changed.append(group)
-                self.fine[group] = often
+                self.group_splits[group] = splits
         return changed
--- a/arrowfold/storage/__init__.py
+++ b/arrowfold/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable storage: a log in segments with checksums, and snapshots beside them."""
+"""Durable storage: a segmented log with checksums, and snapshots."""
--- a/arrowfold/storage/faults.py
+++ b/arrowfold/storage/faults.py
@@ -4,11 +4,14 @@
 
 
 class StorageFault(Exception):
-    """The disk did not take a write: it is full, broken, or did not answer in time."""
+    """A write failed: the disk is full or broken, did not complete in time, or the change was refused."""
 
 
 class DamagedStorage(Exception):
-    """Bytes that were synced once do not read back; nothing is guessed about them."""
+    """Bytes that were synced cannot be read back intact; no attempt is made to reconstruct them.
+
+    `offset` is the byte position in `file`.
+    """
 
     def __init__(self, file: str, offset: int, reason: str) -> None:
         super().__init__(f"{file} at byte {offset}: {reason}")
--- a/arrowfold/storage/folders.py
+++ b/arrowfold/storage/folders.py
@@ -1,6 +1,6 @@
-"""The file operations that the log needs, as a port, and their implementation by the operating system.
+"""The file operations that the log needs: protocols, and an implementation on the operating system.
 
-All of them block until the disk is done; they run on the disk thread (see `worker`).
+All operations block until the disk has finished; they run on the disk thread (see `worker`).
 """
 
 from __future__ import annotations
@@ -11,32 +11,32 @@
 
 
 class AppendFile(Protocol):
-    """A file that is written at its end."""
+    """A file opened for appending."""
 
     def append(self, data: bytes) -> None:
-        """Write `data` at the end; raises OSError if the disk does not take all of it."""
+        """Write `data` at the end; raises OSError if it is not written completely."""
 
     def truncate(self, size: int) -> None:
-        """Cut the file to `size` bytes."""
+        """Truncate the file to `size` bytes."""
 
     def sync(self) -> None:
-        """Return once all that was written is durable."""
+        """Return once all written data is durable."""
 
     def close(self) -> None:
-        """Give the file up; nothing more is promised about unsynced writes."""
+        """Close the file; writes that are not synced may be lost."""
 
 
 class Folder(Protocol):
-    """A flat folder of files."""
+    """A folder of files without subfolders."""
 
     def names(self) -> list[str]:
-        """The names of the files in it, sorted."""
+        """The names of the files in the folder, sorted."""
 
     def read(self, name: str) -> bytes:
         """The whole content of a file."""
 
     def open(self, name: str) -> AppendFile:
-        """Open a file for appending; it is made if it does not exist."""
+        """Open a file for appending; it is created if it does not exist."""
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file, replacing `new`; durable after `sync`."""
@@ -49,7 +49,7 @@
 
 
 class OsAppendFile:
-    """An `AppendFile` by file descriptor."""
+    """An `AppendFile` on a file descriptor."""
 
     def __init__(self, path: Path) -> None:
         self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT, 0o644)
@@ -74,7 +74,7 @@
 
 
 class OsFolder:
-    """A `Folder` of the file system."""
+    """A `Folder` in the file system; created if it does not exist."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
--- a/arrowfold/storage/frames.py
+++ b/arrowfold/storage/frames.py
@@ -1,8 +1,8 @@
-"""Frames of a log file: a fixed head with length, checksum and how far the file was synced, then the payload.
+"""Frames of a log file: a fixed header with length, synced offset and checksum, followed by the payload.
 
-The `synced` field of a frame tells up to which offset the file had been synced when the frame was written.
-A bad frame at or beyond every such offset is a torn tail: it was never acknowledged, and is cut. A bad
-frame below one is damage to acknowledged data.
+The `synced` field of a frame is the offset up to which the file had been synced when the frame was written.
+An invalid frame at or beyond all synced offsets is a torn tail: it was never acknowledged and is truncated.
+An invalid frame below a synced offset is damage to acknowledged data.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from arrowfold.storage.faults import DamagedStorage
 
 MAGIC = b"AfL1"
-_HEAD = struct.Struct(">4sIQI")  # magic, length of the payload, synced offset, checksum of all but itself
-HEAD_BYTES = _HEAD.size
+_HEADER = struct.Struct(">4sIQI")  # magic, payload length, synced offset, checksum of both and the payload
+HEADER_BYTES = _HEADER.size
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One payload, where it ends, and what the file had synced before it."""
+    """One payload, the offset of its end, and the synced offset when it was written."""
 
     payload: bytes
     end: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScannedFile:
-    """The whole frames of a file, and the offset where its valid part ends."""
+    """The payloads of a file's valid frames, and the offset where the valid part ends."""
 
     payloads: tuple[bytes, ...]
     end: int
@@ -41,15 +41,15 @@
 
 def encode_frame(payload: bytes, synced: int) -> bytes:
     """The bytes of one frame; `synced` is the offset up to which the file is known to be durable."""
-    return _HEAD.pack(MAGIC, len(payload), synced, _checksum(payload, synced)) + payload
+    return _HEADER.pack(MAGIC, len(payload), synced, _checksum(payload, synced)) + payload
 
 
 def read_frame(data: bytes, offset: int) -> Frame | None:
-    """The frame at `offset`, or None if there is no whole valid one."""
-    if offset + HEAD_BYTES > len(data):
+    """The frame at `offset`, or None if it is incomplete or invalid."""
+    if offset + HEADER_BYTES > len(data):
         return None
-    magic, length, synced, checksum = _HEAD.unpack_from(data, offset)
-    start = offset + HEAD_BYTES
+    magic, length, synced, checksum = _HEADER.unpack_from(data, offset)
+    start = offset + HEADER_BYTES
     if magic != MAGIC or start + length > len(data):
         return None
     payload = data[start : start + length]
@@ -59,7 +59,7 @@
 
 
 def _later_synced_offset(data: bytes, start: int) -> int:
-    """The highest synced offset that any valid frame beyond `start` tells; 0 if there is none."""
+    """The highest synced offset in any valid frame at or after `start`; 0 if there is none."""
     highest = 0
     offset = data.find(MAGIC, start)
     while offset >= 0:
@@ -71,7 +71,10 @@
 
 
 def scan(data: bytes, name: str) -> ScannedFile:
-    """All frames up to the torn tail; raises DamagedStorage where synced bytes are bad."""
+    """Read all frames before a torn tail; raises DamagedStorage if synced bytes are invalid.
+
+    `name` is the file's name for error messages.
+    """
     payloads: list[bytes] = []
     offset = 0
     while True:
@@ -81,5 +84,5 @@
         payloads.append(frame.payload)
         offset = frame.end
     if _later_synced_offset(data, offset) > offset:
-        raise DamagedStorage(name, offset, "a frame that was synced does not read back")
+        raise DamagedStorage(name, offset, "a synced frame is invalid")
     return ScannedFile(tuple(payloads), offset)
--- a/arrowfold/storage/log.py
+++ b/arrowfold/storage/log.py
@@ -1,8 +1,9 @@
-"""A log in numbered segments, each with the snapshot that it starts from beside it.
+"""A log in numbered segments, each with the snapshot that it starts from.
 
-`snapshot-N` holds the image of everything before `segment-N`. Compaction writes the next snapshot under a
-temporary name, syncs it, renames it, syncs the folder, and only then removes what it replaces. At any moment
-the highest whole snapshot and the segment of its number are the state.
+`snapshot-N` holds the state before the first record of `segment-N`. Compaction writes the next snapshot
+under a temporary name, syncs it, renames it, syncs the folder, and only then removes the files that it
+replaces. At any time the state consists of the snapshot with the highest number and the segment of the same
+number.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLog:
-    """What the folder held: the image of the last snapshot, if there is one, and the records after it."""
+    """The content of a log: the last snapshot, or None if there is none, and the records after it."""
 
     snapshot: bytes | None
     records: tuple[bytes, ...]
-    cut_bytes: int = 0  # of a torn tail
+    cut_bytes: int = 0  # length of the torn tail
 
 
 def _numbers(names: list[str], prefix: str) -> list[int]:
@@ -32,37 +33,40 @@
     return sorted(int(number) for number in found if number.isdigit())
 
 
-def _name(prefix: str, number: int) -> str:
+def _file_name(prefix: str, number: int) -> str:
     return f"{prefix}{number:08d}"
 
 
 def _read_snapshot(folder: Folder, number: int) -> bytes:
-    name = _name(SNAPSHOT_PREFIX, number)
+    name = _file_name(SNAPSHOT_PREFIX, number)
     payloads = scan(folder.read(name), name).payloads
     if len(payloads) != 1:
-        raise DamagedStorage(name, 0, "a snapshot that was synced does not read back")
+        raise DamagedStorage(name, 0, "a synced snapshot is invalid")
     return payloads[0]
 
 
 def _read(folder: Folder) -> tuple[int, RecoveredLog, int]:
-    """The number of the last segment, what the folder holds, and where the segment's valid part ends."""
+    """Returns the number of the last segment, the log's content, and the end of the segment's valid part."""
     names = folder.names()
     snapshots = _numbers(names, SNAPSHOT_PREFIX)
     number = snapshots[-1] if snapshots else 0
     snapshot = _read_snapshot(folder, number) if snapshots else None
-    segment = _name(SEGMENT_PREFIX, number)
+    segment = _file_name(SEGMENT_PREFIX, number)
     data = folder.read(segment) if segment in names else b""
     scanned = scan(data, segment)
     return number, RecoveredLog(snapshot, scanned.payloads, len(data) - scanned.end), scanned.end
 
 
 def read_log(folder: Folder) -> RecoveredLog:
-    """What a folder holds, without changing it; raises DamagedStorage if synced bytes do not read back."""
+    """Read a log without changing its folder; raises DamagedStorage if synced bytes are invalid."""
     return _read(folder)[1]
 
 
 class SegmentedLog:
-    """Appends records durably. All methods block; after an OSError, `compact` starts anew."""
+    """Appends records durably.
+
+    All methods block. After an OSError, `compact` must be called before the next `append`.
+    """
 
     def __init__(self, folder: Folder) -> None:
         self._folder = folder
@@ -73,13 +77,13 @@
 
     @property
     def segment_bytes(self) -> int:
-        """The size of the segment that is being written."""
+        """The size of the current segment in bytes."""
         return self._end
 
     def recover(self) -> RecoveredLog:
-        """Read the folder; cut a torn tail; raises DamagedStorage if synced bytes do not read back."""
+        """Read the folder and truncate a torn tail; raises DamagedStorage if synced bytes are invalid."""
         self._number, recovered, end = _read(self._folder)
-        self._file = self._folder.open(_name(SEGMENT_PREFIX, self._number))
+        self._file = self._folder.open(_file_name(SEGMENT_PREFIX, self._number))
         if recovered.cut_bytes:
             self._file.truncate(end)
         self._file.sync()
@@ -89,7 +93,7 @@
         return recovered
 
     def append(self, records: list[bytes]) -> None:
-        """Write records and return when they are durable."""
+        """Write records; returns once they are durable."""
         assert self._file is not None
         data = b"".join(encode_frame(record, self._synced) for record in records)
         self._file.append(data)
@@ -98,11 +102,11 @@
         self._synced = self._end
 
     def compact(self, image: bytes) -> None:
-        """Start the next segment from `image`; also the way back after a failed append."""
+        """Start the next segment from the snapshot `image`; also recovers from a failed append."""
         number = self._number + 1
-        snapshot = _name(SNAPSHOT_PREFIX, number)
+        snapshot = _file_name(SNAPSHOT_PREFIX, number)
         self._write_new(snapshot, image)
-        file = self._folder.open(_name(SEGMENT_PREFIX, number))
+        file = self._folder.open(_file_name(SEGMENT_PREFIX, number))
         file.truncate(0)
         file.sync()
         self._folder.rename(snapshot + TEMPORARY_SUFFIX, snapshot)
@@ -123,13 +127,13 @@
             file.close()
 
     def _remove_others(self) -> None:
-        kept = {_name(SNAPSHOT_PREFIX, self._number), _name(SEGMENT_PREFIX, self._number)}
+        kept = {_file_name(SNAPSHOT_PREFIX, self._number), _file_name(SEGMENT_PREFIX, self._number)}
         for name in self._folder.names():
             if name.startswith((SNAPSHOT_PREFIX, SEGMENT_PREFIX)) and name not in kept:
                 self._folder.remove(name)
 
     def close(self) -> None:
-        """Give the file up."""
+        """Close the current segment."""
         if self._file is not None:
             self._file.close()
             self._file = None
--- a/arrowfold/storage/worker.py
+++ b/arrowfold/storage/worker.py
@@ -1,4 +1,4 @@
-"""Runs blocking disk work beside the event loop, one piece at a time."""
+"""Runs blocking disk operations outside the event loop, one at a time."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class DiskWorker(Protocol):
-    """Where blocking disk work runs."""
+    """An executor of blocking disk operations."""
 
     async def run(self, work: Callable[[], T]) -> T:
-        """The result of `work`, which runs after all work that was given earlier."""
+        """Run `work` after all work submitted earlier; returns its result or raises its exception."""
 
     def close(self) -> None:
-        """Take no more work; work that hangs is left behind."""
+        """Stop after the submitted work; an operation that hangs is abandoned."""
 
 
 class ThreadDiskWorker:
-    """A `DiskWorker` by one daemon thread: a hung disk does not keep the process from ending."""
+    """A `DiskWorker` on one daemon thread, so that a hung disk does not prevent the process from exiting."""
 
     def __init__(self) -> None:
         self._work: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
@@ -49,9 +49,9 @@
         def perform() -> None:
             try:
                 result, error = work(), None
-            except Exception as caught:  # handed to the caller
+            except Exception as caught:  # raised in the caller
                 result, error = None, caught
-            with contextlib.suppress(RuntimeError):  # the loop has ended meanwhile
+            with contextlib.suppress(RuntimeError):  # the event loop is closed
                 loop.call_soon_threadsafe(settle, result, error)
 
         self._work.put(perform)
