--- a/arrowfold/replication/epochs.py
+++ b/arrowfold/replication/epochs.py
@@ -116,12 +116,12 @@
     """Runs attempts to start a new epoch with this member as its primary."""
 
     def __init__(
-        self, member: GroupMember, caller: Caller, seeds: tuple[str, ...], leavers: LeavingMembers
+        self, member: GroupMember, caller: Caller, seeds: tuple[str, ...], leaving_members: LeavingMembers
     ) -> None:
         self._member = member
         self._caller = caller
         self._seeds = seeds
-        self._leavers = leavers
+        self._leaving_members = leaving_members
         self._timings = member.timings
         self._open_calls: set[asyncio.Task[Verdict | None]] = set()
 
@@ -187,7 +187,7 @@
         request = PrepareEpoch(epoch, self._member.info, trial)
         self._send_prepares(prepare_round, request, [self._member.info.address, *self._known_addresses()])
         self._send_prepares(prepare_round, request, [newcomer.address for newcomer in newcomers])
-        self._send_prepares(prepare_round, request, self._leavers.addresses())
+        self._send_prepares(prepare_round, request, self._leaving_members.addresses())
         quorum_at: float | None = None
         while True:
             self._collect_answers(prepare_round)
--- a/arrowfold/replication/replica.py
+++ b/arrowfold/replication/replica.py
@@ -64,8 +64,8 @@
         self._timings = member.timings
         self._clock = member.clock
         self._leave_timeout_s = leave_timeout_s
-        self._leavers = LeavingMembers(member.clock, member.timings)
-        self._change = EpochChange(member, caller, founding_seeds, self._leavers)
+        self._leaving_members = LeavingMembers(member.clock, member.timings)
+        self._change = EpochChange(member, caller, founding_seeds, self._leaving_members)
         self._term: PrimaryTerm | None = None
         self._started_at = member.clock()
         self._next_election_at = 0.0
@@ -202,7 +202,7 @@
         }
 
     async def _on_join(self, request: JoinRequest) -> JoinAnswer:
-        if self._term is not None and not self._leavers.is_leaving(request.member.member):
+        if self._term is not None and not self._leaving_members.is_leaving(request.member.member):
             self._term.join(request.member)
         return JoinAnswer(self._member.image.record)
 
@@ -215,7 +215,7 @@
         return Acknowledgement()
 
     async def _on_leave(self, request: LeaveRequest) -> LeaveAnswer:
-        self._leavers.note(request.member)
+        self._leaving_members.note(request.member)
         released = self._term is not None and self._term.leave(request.member.member)
         return LeaveAnswer(released, self._finder.newest(self._member.image.record))
 
@@ -392,7 +392,7 @@
             if any(answer.released for answer in answers):
                 self._log.info("member.released", epoch=record.epoch)
                 return True
-            if self._leavers.all_leaving(record, self.member):
+            if self._leaving_members.all_leaving(record, self.member):
                 return False
             await asyncio.sleep(self._timings.leave_retry_s)
         self._log.warning("member.left_without_release", patience_s=self._leave_timeout_s)
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -216,7 +216,7 @@
     ),
     (
         "candidates ask members that leave",
-        "self._send_prepares(prepare_round, request, self._leavers.addresses())",
+        "self._send_prepares(prepare_round, request, self._leaving_members.addresses())",
         "pass",
     ),
     (
@@ -345,7 +345,11 @@
             "if self._stopping:\n            return\n",
             "if False:\n            return\n",
         ),
-        ("a leaver doesn't join again", " and not self._leavers.is_leaving(request.member.member):", ":"),
+        (
+            "a leaver doesn't join again",
+            " and not self._leaving_members.is_leaving(request.member.member):",
+            ":",
+        ),
         ("only a first start founds", "return self._member.founder and ", "return "),
     ),
 )
--- a/tests/system/control_simulation/__init__.py
+++ b/tests/system/control_simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane's own code in one process: virtual time, failing network, disks and machines."""
+"""Simulation of the control plane in one process: real code on virtual time, network, disks and nodes."""
--- a/tests/system/control_simulation/blackouts.py
+++ b/tests/system/control_simulation/blackouts.py
@@ -1,7 +1,7 @@
-"""Schedules in which everything loses power at one moment, while as many disks are lost as may be.
+"""Schedules in which all nodes lose power simultaneously and the maximum tolerated number of disks is lost.
 
-Also machines that don't count lose power: edges, and machines that are leaving. Everything comes back, and
-what was confirmed before has to be there.
+Edge nodes and leaving nodes lose power too. After all of them have restarted, everything that was
+acknowledged before must still be there.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from tests.system.control_simulation.schedules import Schedule
 from tests.system.control_simulation.world import World
 
-DISKS = "disks lost in blackouts"  # counted beside the faults
+DISKS = "disks lost in blackouts"  # key of this count among the counts of faults
 NO_CONFIRMATION = "blackout after waiting for a confirmation in vain"
-MOST_FAULTS_BEFORE = 2  # ordinary ones, before the first blackout
+MAX_FAULTS_BEFORE = 2  # ordinary faults before the first blackout
 BLACKOUTS = 3
-LONGEST_CALM_S = 1.5  # before a blackout at a drawn moment
-CONFIRMATION_PATIENCE_S = 4.0  # for the next acknowledgement
-THINNING_PATIENCE_S = 5.0  # for the group to leave out those that stand still
-DARK_S = (0.02, 0.3, 1.0, 4.0)
-STAGGER_S = (0.0, 0.1, 1.0)  # within which machines come back
+MAX_CALM_S = 1.5  # maximum delay before a blackout at a random time
+CONFIRMATION_TIMEOUT_S = 4.0  # maximum wait for the next acknowledgement
+SHRINK_TIMEOUT_S = 5.0  # maximum time until the group has excluded frozen nodes
+OUTAGE_S = (0.02, 0.3, 1.0, 4.0)  # time without power
+STAGGER_S = (0.0, 0.1, 1.0)  # interval over which the restarts are spread
 
 
 class BlackoutSchedule(Schedule):
-    """A few ordinary faults, then blackouts, each once the group has recovered from the one before."""
+    """A few ordinary faults, then blackouts, each after the group has recovered from the previous one."""
 
     def __init__(self, seed: int, machines: int, losses: int, world_type: type[World] = World) -> None:
         super().__init__(seed, machines, losses, world_type)
         self._harsh = False
 
-    async def _trouble(self) -> None:
-        await self._faults_in_turn(self.draw.randint(0, MOST_FAULTS_BEFORE))
+    async def _inject_faults(self) -> None:
+        await self._faults_in_turn(self.draw.randint(0, MAX_FAULTS_BEFORE))
         for _ in range(BLACKOUTS):
             if self.world.violations:
                 return
@@ -40,33 +40,33 @@
             await self._recover()
 
     async def _blackout(self) -> None:
-        """One blackout, with all machines in the group or with as few as an acknowledgement takes."""
-        still = await self._thin_out() if self.draw.random() < 0.5 else []
+        """One blackout, with all nodes in the group or with as few as an acknowledgement requires."""
+        still = await self._shrink_group() if self.draw.random() < 0.5 else []
         moment = self.draw.choice(("drawn", "confirmation", "shortly after a confirmation"))
         name = f"blackout, {moment}{', few in the group' if still else ''}"
         self.world.trace.add("FAULT", name)
         if moment == "drawn":
-            await asyncio.sleep(self.draw.uniform(0.0, LONGEST_CALM_S))
-            self._strike(still)
+            await asyncio.sleep(self.draw.uniform(0.0, MAX_CALM_S))
+            self._fail_all(still)
         elif moment == "confirmation":
-            await self._strike_at_confirmation(still)
+            await self._fail_all_at_confirmation(still)
         else:
             await self._next_confirmation()
             await asyncio.sleep(self.draw.uniform(0.0, 3 * self.world.sync_s))
-            self._strike(still)
+            self._fail_all(still)
         self.outcome.faults[name] += 1
-        await asyncio.sleep(self.draw.choice(DARK_S))
-        self._come_back()
+        await asyncio.sleep(self.draw.choice(OUTAGE_S))
+        self._restart_all()
 
-    async def _thin_out(self) -> list[Machine]:
-        """Let machines stand still until the group is as small as acknowledgements allow; these machines."""
+    async def _shrink_group(self) -> list[Machine]:
+        """Freeze nodes until the group has the minimum size for acknowledgements; returns these nodes."""
         machines = list(self.world.machines.values())
         smallest = self.world.losses + 1
         still = self.draw.sample(machines, max(0, len(machines) - smallest))
         for machine in still:
             machine.freeze()
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + THINNING_PATIENCE_S
+        deadline = loop.time() + SHRINK_TIMEOUT_S
         while loop.time() < deadline and self._group_size() != smallest:
             await asyncio.sleep(0.02)
         return still
@@ -78,31 +78,34 @@
         return len(primary.replica.term.record.group)
 
     async def _next_confirmation(self) -> None:
-        """Wait for the next acknowledgement, for a time."""
+        """Wait for the next acknowledgement, up to the timeout."""
         confirmed = asyncio.Event()
         self.world.on_confirmed = confirmed.set  # type: ignore[method-assign]
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(confirmed.wait(), CONFIRMATION_PATIENCE_S)
+            await asyncio.wait_for(confirmed.wait(), CONFIRMATION_TIMEOUT_S)
         self.world.on_confirmed = _nothing  # type: ignore[method-assign]
 
-    async def _strike_at_confirmation(self, still: list[Machine]) -> None:
-        """Strike within the acknowledgement itself, before anything else runs; at last without one."""
+    async def _fail_all_at_confirmation(self, still: list[Machine]) -> None:
+        """Cut the power within the acknowledgement itself, before any other callback runs.
+
+        After the timeout the power is cut without an acknowledgement.
+        """
         struck = asyncio.Event()
 
-        def strike() -> None:
+        def inject() -> None:
             self.world.on_confirmed = _nothing  # type: ignore[method-assign]
-            self._strike(still)
+            self._fail_all(still)
             struck.set()
 
-        self.world.on_confirmed = strike  # type: ignore[method-assign]
+        self.world.on_confirmed = inject  # type: ignore[method-assign]
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(struck.wait(), CONFIRMATION_PATIENCE_S)
+            await asyncio.wait_for(struck.wait(), CONFIRMATION_TIMEOUT_S)
         if not struck.is_set():
             self.outcome.faults[NO_CONFIRMATION] += 1
-            strike()
+            inject()
 
-    def _strike(self, still: list[Machine]) -> None:
-        """Wipe as many as may be, rather of those that did not stand still; all others lose power."""
+    def _fail_all(self, still: list[Machine]) -> None:
+        """Wipe as many disks as allowed, preferably of nodes that are not frozen; all others lose power."""
         victims = self._victims(still)
         for machine in self.world.machines.values():
             if machine in victims:
@@ -116,7 +119,7 @@
         history.least_version = history.newest_committed_version()
 
     def _victims(self, still: list[Machine]) -> list[Machine]:
-        """As many machines as may lose their disks now."""
+        """The nodes whose disks are lost: as many as the budget allows."""
         count = self.world.losses
         while count and not self._budget.take(count):
             count -= 1
@@ -124,7 +127,7 @@
         self.draw.shuffle(machines)
         return sorted(machines, key=lambda machine: machine in still)[:count]
 
-    def _come_back(self) -> None:
+    def _restart_all(self) -> None:
         loop = asyncio.get_running_loop()
         longest_s = self.draw.choice(STAGGER_S)
         for machine in self.world.machines.values():
@@ -134,4 +137,4 @@
 
 
 def _nothing() -> None:
-    """What is called at a confirmation while nobody waits for one."""
+    """The callback of confirmations while none is awaited."""
--- a/tests/system/control_simulation/disks.py
+++ b/tests/system/control_simulation/disks.py
@@ -1,4 +1,4 @@
-"""A disk in memory that keeps, loses or tears each write since the last sync by itself when power is lost."""
+"""A simulated disk in memory: a power loss independently keeps, drops or tears each unsynced write."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class _Content:
-    """The bytes of one file: what is durable, and what was written since."""
+    """The bytes of one file: the durable content, and the writes since the last sync."""
 
     durable: bytes = b""
     unsynced: list[_Write] = field(default_factory=list)
@@ -46,7 +46,10 @@
 
 
 class SimulatedFolder:
-    """A `Folder`; `full` makes it refuse writes; the others plant faults."""
+    """A `Folder` in memory.
+
+    `full` makes writes fail; the class attributes are overridden to plant faults.
+    """
 
     no_folder_sync = False
     no_file_sync = False
@@ -82,7 +85,7 @@
             self._durable_names = dict(self._files)
 
     def keep_name(self, name: str, content: _Content) -> None:
-        """A new file that was synced itself keeps its name."""
+        """Make the name of a new file durable after the file itself was synced."""
         if self._files.get(name) is content and name not in self._durable_names:
             self._durable_names[name] = content
 
@@ -91,7 +94,7 @@
             raise OSError(errno.ENOSPC, "no space left on device")
 
     def lose_power(self, draw: random.Random) -> None:
-        """Keep what was synced; of the rest, each write and each name is kept or lost by itself."""
+        """Keep synced data; keep or drop each unsynced write and each unsynced name independently."""
         lose_all = draw.random() < 0.3
         names: dict[str, _Content] = {}
         for name in sorted({*self._files, *self._durable_names}):
@@ -107,7 +110,7 @@
         self._durable_names = dict(names)
 
     def flip_byte(self, name: str, offset: int) -> None:
-        """Damage a byte that was synced."""
+        """Corrupt one synced byte."""
         content = self._files[name]
         data = bytearray(content.current())
         data[offset] ^= 0xFF
@@ -151,7 +154,7 @@
 
 
 class SimulatedDiskWorker:
-    """A `DiskWorker` whose work takes virtual time, and for ever while the disk hangs."""
+    """A `DiskWorker` whose operations take virtual time and block while the disk hangs."""
 
     def __init__(self, sync_s: float) -> None:
         self.sync_s = sync_s
--- a/tests/system/control_simulation/edges.py
+++ b/tests/system/control_simulation/edges.py
@@ -1,4 +1,4 @@
-"""Edge nodes of the simulation: the real puller and tables, which must never go back."""
+"""Simulated edge nodes with the real puller and tables; their state must never regress."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from tests.system.control_simulation.network import SimulatedCaller
 from tests.system.control_simulation.world import World
 
-SPEED_ERROR = 0.04  # of an edge's steady clock; every other edge's is slow by it, the others' are fast
+SPEED_ERROR = 0.04  # relative error of an edge's steady clock, alternately slow and fast
 
 
 class _NoLog:
-    """Takes the puller's events and drops them."""
+    """Discards the puller's log events."""
 
     def info(self, event: str, **fields: Any) -> None:
-        """Nothing is logged."""
+        """Discard the event."""
 
 
-class _WatchedFreshness(StateFreshness):
-    """Has what the edge would serve looked at right after each answer that counts."""
+class _ObservedFreshness(StateFreshness):
+    """Runs a check of what the edge would serve right after each answer that is counted."""
 
     def __init__(self, clock: Callable[[], float], counted: Callable[[], None]) -> None:
         super().__init__(REVOKE_S, clock)
@@ -40,7 +40,7 @@
 
 
 class SimulatedEdge:
-    """An edge that pulls; each of its lives begins with empty tables."""
+    """An edge node that pulls the state; it starts with empty tables after each restart."""
 
     def __init__(self, name: str, world: World) -> None:
         self.name = name
@@ -49,36 +49,36 @@
         self._life: Life | None = None
         self._tables = FleetTables()
         self._clock_rate = 1.0 + (SPEED_ERROR if int(name[-1]) % 2 == 0 else -SPEED_ERROR)
-        self._freshness = _WatchedFreshness(self._clock, self.check_keys)
+        self._freshness = _ObservedFreshness(self._clock, self.check_keys)
         self._tasks: list[asyncio.Task[None]] = []
-        self._shown = (0, 0)  # the position and the version in force
+        self._applied = (0, 0)  # log position and version of the configuration in force
 
     def version(self) -> int:
-        """The version that requests are handled by, 0 for none."""
-        return self._shown[1]
+        """The configuration version that requests are handled by, 0 for none."""
+        return self._applied[1]
 
     def _clock(self) -> float:
-        """The steady clock of this edge's machine."""
+        """The steady clock of this edge."""
         return asyncio.get_running_loop().time() * self._clock_rate
 
     def serves_keys(self) -> bool:
-        """Whether it runs, has a configuration and would begin a keyed request at this moment."""
+        """Whether it is running, has a configuration and would accept a request with an API key now."""
         runs = self._life is not None and not self._life.dead and not self._life.frozen
         return runs and self.version() > 0 and self._freshness.is_fresh()
 
     def check_keys(self) -> None:
-        """It serves no key that was taken away long ago."""
+        """Check that it does not serve a key that was revoked longer than REVOKE_S ago."""
         if self.serves_keys():
             now = asyncio.get_running_loop().time()
             self._world.check(lambda: self._world.history.serve_keys(now, self.version(), self.name))
 
     def freeze(self) -> None:
-        """Let its process stand still, if it runs."""
+        """Freeze its process, if it is running."""
         if self._life is not None:
             self._loop.freeze(self._life)
 
     def thaw(self) -> None:
-        """Let its process go on; requests that came meanwhile are looked at before anything else."""
+        """Resume its process; requests that arrived meanwhile are checked before anything else runs."""
         if self._life is not None:
             self._loop.thaw(self._life)
         self.check_keys()
@@ -90,19 +90,19 @@
         return loop
 
     def start(self) -> None:
-        """Start it, or start it again."""
+        """Start or restart it."""
         loop = self._loop
         if self._life is not None:
             loop.kill(self._life)
         life = self._life = Life(self.name)
         self._tables = FleetTables()
-        self._freshness = _WatchedFreshness(self._clock, self.check_keys)
-        self._shown = (0, 0)
+        self._freshness = _ObservedFreshness(self._clock, self.check_keys)
+        self._applied = (0, 0)
         seeds = tuple(machine.address for machine in list(self._world.machines.values())[:3])
         self._tasks = [loop.create_task(self._run(seeds), context=life.context)]
 
     def lose_power(self) -> None:
-        """Its processes end, and with them all that it knew."""
+        """End its process; all of its state is lost."""
         if self._life is not None:
             self._loop.kill(self._life)
 
@@ -114,18 +114,18 @@
             self._tables,
             identity,
             seeds,
-            self._look,
+            self._on_update,
             _NoLog(),  # type: ignore[arg-type]
             self._freshness,
         )
         puller.start()
         await asyncio.get_running_loop().create_future()
 
-    def _look(self) -> None:
+    def _on_update(self) -> None:
         configuration = self._tables.snapshot.configuration
-        if configuration is None or (configuration.sequence, configuration.version) == self._shown:
+        if configuration is None or (configuration.sequence, configuration.version) == self._applied:
             return
-        before, self._shown = self._shown, (configuration.sequence, configuration.version)
+        before, self._applied = self._applied, (configuration.sequence, configuration.version)
         self._world.check(lambda: self._check(before))
 
     def _text(self) -> bytes | None:
@@ -133,13 +133,13 @@
         return None if configuration is None else write_canonical(configuration.document)
 
     def _check(self, before: tuple[int, int]) -> None:
-        if self._shown[0] < before[0] or self._shown[1] < before[1]:
-            raise Violation(f"{self.name} went back from {before} to {self._shown}")
+        if self._applied[0] < before[0] or self._applied[1] < before[1]:
+            raise Violation(f"{self.name} went back from {before} to {self._applied}")
         least = self._world.history.least_version
-        if self._shown[1] < least:
-            raise Violation(f"{self.name} went back to {self._shown}, all lost power with version {least}")
-        published = self._world.history.published.get(self._shown[0])
+        if self._applied[1] < least:
+            raise Violation(f"{self.name} went back to {self._applied}, all lost power with version {least}")
+        published = self._world.history.published.get(self._applied[0])
         if published is not None and text_without_keys(published) != self._text():
-            raise Violation(f"{self.name} has other contents at position {self._shown[0]} than the group")
+            raise Violation(f"{self.name} has other contents at position {self._applied[0]} than the group")
         if before == (0, 0):
-            self._world.history.show(asyncio.get_running_loop().time(), self._shown[1], self.name)
+            self._world.history.show(asyncio.get_running_loop().time(), self._applied[1], self.name)
--- a/tests/system/control_simulation/faults.py
+++ b/tests/system/control_simulation/faults.py
@@ -1,7 +1,7 @@
-"""The faults of random schedules: each strikes, lasts, and ends by itself.
+"""The faults of random schedules; each is injected, lasts for a time, and ends by itself.
 
-What they may do together is bounded only by the number of disks: no more are lost, between two moments at
-which the group was whole and known to be so, than the losses to be borne.
+Overlapping faults are limited only by the number of lost disks: between two times at which the group was
+complete and confirmed, at most the tolerated number of disks is lost.
 """
 
 from __future__ import annotations
@@ -20,13 +20,14 @@
 GRACE_S = 8.0
 SHORT_S = (0.02, 0.3, 1.0, 2.5, 4.0)
 LONG_S = (8.0, 20.0)
-PROMISE_PATIENCE_S = 3.0  # for the next promise that anyone gives
+PROMISE_TIMEOUT_S = 3.0  # maximum wait for the next promise by any node
 
 
 class DiskBudget:
-    """How many disks may still be lost before the group is whole again.
+    """Counts the disks that may still be lost before the group is complete again.
 
-    None before it was whole for the first time: a group of fewer voters than the losses ask for bears fewer.
+    No disk may be lost before the group is complete for the first time, since a group with fewer witnesses
+    than required tolerates fewer losses.
     """
 
     def __init__(self, world: World) -> None:
@@ -34,12 +35,12 @@
         self._lost = world.losses
 
     def renew_when_whole(self) -> None:
-        """Count anew if the group is whole, and enough disks know it; to be called all the time."""
+        """Reset the count if the group is complete and confirmed on enough disks; called periodically."""
         if self._lost and self._world.is_secured():
             self._lost = 0
 
     def take(self, disks: int = 1) -> bool:
-        """Whether that many more may be lost now; they count as lost then."""
+        """Reserve the loss of `disks` more disks; returns whether the budget allows it."""
         if self._lost + disks > self._world.losses:
             return False
         self._lost += disks
@@ -47,32 +48,34 @@
 
 
 class Faults:
-    """All kinds of faults on one world."""
+    """All kinds of faults, injected into one world."""
 
     def __init__(self, world: World, draw: random.Random, budget: DiskBudget) -> None:
         self.world = world
         self.draw = draw
         self.budget = budget
-        self.storming = False
+        self.is_bursting = False
         self._next_name = len(world.machines)
         self._serial = 0
         self._leaving: set[str] = set()
         self.kinds: dict[str, Callable[[], Awaitable[bool]]] = {
-            "kill": lambda: self._each(Machine.kill, Machine.start),
-            "power": lambda: self._each(Machine.lose_power, Machine.start),
-            "freeze": lambda: self._each(Machine.freeze, Machine.thaw),
-            "hang": lambda: self._each(lambda it: it.hang_disk(True), lambda it: it.hang_disk(False)),
-            "full": lambda: self._each(_fill, _empty),
+            "kill": lambda: self._affect_victims(Machine.kill, Machine.start),
+            "power": lambda: self._affect_victims(Machine.lose_power, Machine.start),
+            "freeze": lambda: self._affect_victims(Machine.freeze, Machine.thaw),
+            "hang": lambda: self._affect_victims(
+                lambda it: it.hang_disk(True), lambda it: it.hang_disk(False)
+            ),
+            "full": lambda: self._affect_victims(_fill, _empty),
             "wipe": self._wipe,
             "wipe and power of the rest": self._wipe_and_power,
-            "power of all": lambda: self._everyone(Machine.lose_power),
-            "kill of all": lambda: self._everyone(Machine.kill),
+            "power of all": lambda: self._affect_all(Machine.lose_power),
+            "kill of all": lambda: self._affect_all(Machine.kill),
             "cut": lambda: self._cut(both_ways=True),
             "cut one way": lambda: self._cut(both_ways=False),
             "long cut": lambda: self._cut(both_ways=self.draw.random() < 0.7, durations=LONG_S),
             "cut between two": self._cut_between_two,
             "split": self._split,
-            "behind": self._behind,
+            "behind": self._wipe_with_minority_behind,
             "late messages": self._late,
             "resets": self._resets,
             "answers lost": self._answers_lost,
@@ -80,7 +83,7 @@
             "planned replacement": self._planned_replacement,
             "terminate": self._terminate,
             "seeds": self._exchange_seeds,
-            "storm of changes": self._storm,
+            "storm of changes": self._burst,
             "kill at a promise": self._kill_at_promise,
             "power at a promise": self._power_at_promise,
             "old primary after a promise": self._old_primary_after_promise,
@@ -99,23 +102,25 @@
         machines = self._machines()
         return self.draw.sample(machines, min(len(machines), self.draw.randint(1, self.world.losses)))
 
-    async def _last(self, durations: tuple[float, ...] = SHORT_S) -> None:
+    async def _wait(self, durations: tuple[float, ...] = SHORT_S) -> None:
         await asyncio.sleep(self.draw.choice(durations))
 
-    async def _each(self, strike: Callable[[Machine], object], end: Callable[[Machine], object]) -> bool:
+    async def _affect_victims(
+        self, inject: Callable[[Machine], object], end: Callable[[Machine], object]
+    ) -> bool:
         victims = self._victims()
         for victim in victims:
-            strike(victim)
-        await self._last()
+            inject(victim)
+        await self._wait()
         for victim in victims:
             end(victim)
         return True
 
-    async def _everyone(self, strike: Callable[[Machine], object]) -> bool:
+    async def _affect_all(self, inject: Callable[[Machine], object]) -> bool:
         machines = self._machines()
         for machine in machines:
-            strike(machine)
-        await self._last()
+            inject(machine)
+        await self._wait()
         for machine in machines:
             machine.start()
         return True
@@ -128,10 +133,10 @@
             return False
         for victim in victims:
             victim.wipe()
-        await self._last()
+        await self._wait()
         for victim in victims:
             victim.start()
-        if self.draw.random() < 0.5:  # another loss as soon as the repair is through
+        if self.draw.random() < 0.5:  # another loss as soon as the repair is complete
             await self._another_loss()
         return True
 
@@ -156,34 +161,34 @@
                 machine.wipe()
             else:
                 machine.lose_power()
-        await self._last()
+        await self._wait()
         for machine in machines:
             machine.start()
         return True
 
-    async def _behind(self) -> bool:
-        """A minority misses changes; then another loses its disk while the rest are dark."""
+    async def _wipe_with_minority_behind(self) -> bool:
+        """A minority misses changes; then another node loses its disk while the rest are without power."""
         machines = self._machines()
         self.draw.shuffle(machines)
         minority, others = machines[: self.world.losses], machines[self.world.losses :]
         cuts = self._cut_between(minority, others, both_ways=True)
-        await self._last()
+        await self._wait()
         if not others or not self.budget.take():
-            self.world.network.mend(cuts)
+            self.world.network.restore(cuts)
             return False
         victim, *rest = others
         victim.wipe()
         for machine in rest:
             machine.lose_power()
         victim.start()
-        await self._last((0.3, 1.0, 2.5))
-        self.world.network.mend(cuts)
-        await self._last((0.02, 1.0))
+        await self._wait((0.3, 1.0, 2.5))
+        self.world.network.restore(cuts)
+        await self._wait((0.02, 1.0))
         for machine in rest:
             machine.start()
         return True
 
-    # Cuts and other trouble of the network
+    # Network partitions and other network faults
 
     def _cut_between(
         self, some: list[Machine], others: list[Machine], both_ways: bool
@@ -199,12 +204,12 @@
         victims = self._victims()
         others = [machine for machine in self._machines() if machine not in victims]
         cuts = self._cut_between(victims, others, both_ways)
-        await self._beside(victims, durations)
-        self.world.network.mend(cuts)
+        await self._call_isolated(victims, durations)
+        self.world.network.restore(cuts)
         return True
 
-    async def _beside(self, victims: list[Machine], durations: tuple[float, ...]) -> None:
-        """While machines are cut off, operators and workers call just these."""
+    async def _call_isolated(self, victims: list[Machine], durations: tuple[float, ...]) -> None:
+        """While nodes are cut off, let operators and workers call only these."""
         end = asyncio.get_running_loop().time() + self.draw.choice(durations)
         while asyncio.get_running_loop().time() < end:
             victim = self.draw.choice(victims)
@@ -218,12 +223,12 @@
         self.draw.shuffle(machines)
         half = len(machines) // 2
         cuts = self._cut_between(machines[:half], machines[half:], both_ways=True)
-        await self._beside(machines[:half] or machines, SHORT_S)
-        self.world.network.mend(cuts)
+        await self._call_isolated(machines[:half] or machines, SHORT_S)
+        self.world.network.restore(cuts)
         return True
 
     async def _cut_between_two(self) -> bool:
-        """The primary and another lose each other; the rest reach both, and are restarted meanwhile."""
+        """The primary and another node can't reach each other; the rest reach both and are restarted."""
         leader = self.world.primary()
         others = [machine for machine in self._machines() if machine is not leader]
         if leader is None or len(others) < 2:
@@ -237,31 +242,31 @@
                 if machine.running():
                     machine.kill()
                     machine.start()
-        self.world.network.mend(cuts)
+        self.world.network.restore(cuts)
         return True
 
     async def _late(self) -> bool:
-        """Messages are late, some by more than a fail-over takes."""
+        """Delay messages, some by more than the duration of a failover."""
         self.world.network.slow_share = 0.2
         self.world.network.slow_s = self.draw.choice((0.4, 2.5))
-        await self._last((1.0, 2.5, 4.0))
+        await self._wait((1.0, 2.5, 4.0))
         self.world.network.slow_share = 0.0
         return True
 
     async def _resets(self) -> bool:
         self.world.network.reset_share = self.draw.choice([0.1, 0.4])
-        await self._last((0.3, 1.0, 2.5))
+        await self._wait((0.3, 1.0, 2.5))
         self.world.network.reset_share = 0.0
         return True
 
     async def _answers_lost(self) -> bool:
         self.world.network.answer_loss[OPERATOR] = 0.7
-        await self._last((2.5, 4.0))
+        await self._wait((2.5, 4.0))
         self.world.network.answer_loss.clear()
         return True
 
     async def _edge_cut_off(self) -> bool:
-        """An edge reaches one machine only, which itself may be cut off; it is started anew there."""
+        """An edge reaches only one control node, which may be cut off itself; the edge restarts meanwhile."""
         edge = self.draw.choice(self.world.edges)
         only = self.draw.choice(self._machines())
         others = [machine for machine in self._machines() if machine is not only]
@@ -271,22 +276,22 @@
             cuts += [(machine.address, only.address) for machine in others]
         for sender, receiver in cuts:
             self.world.network.cut(sender, receiver)
-        await self._last((0.3, 1.0, 2.5))
+        await self._wait((0.3, 1.0, 2.5))
         edge.start()
-        await self._last((1.0, 2.5))
-        self.world.network.mend(cuts)
+        await self._wait((1.0, 2.5))
+        self.world.network.restore(cuts)
         return True
 
     async def _edge_frozen(self) -> bool:
-        """An edge stands still, for longer than the answer to a pull takes at times."""
+        """Freeze an edge, at times for longer than the answer to a pull takes."""
         edge = self.draw.choice(self.world.edges)
         edge.freeze()
-        await self._last((0.3, 4.0, 6.0))
+        await self._wait((0.3, 4.0, 6.0))
         edge.thaw()
         return True
 
     async def _edge_behind_one(self) -> bool:
-        """An edge reaches one machine only, which the others lose, or which stands still, a little later."""
+        """An edge reaches only one control node, which is cut off from the others or frozen a bit later."""
         edge = self.draw.choice(self.world.edges)
         only = self.draw.choice(self._machines())
         others = [machine for machine in self._machines() if machine is not only]
@@ -298,13 +303,13 @@
         for sender, receiver in cuts:
             self.world.network.cut(sender, receiver)
         if freezes:
-            await self._last((0.02, 0.3))
+            await self._wait((0.02, 0.3))
             only.freeze()
-        await self._last((2.5, 4.0))
+        await self._wait((2.5, 4.0))
         if freezes:
             only.thaw()
-            await self._last((0.3, 1.0))
-        self.world.network.mend(cuts)
+            await self._wait((0.3, 1.0))
+        self.world.network.restore(cuts)
         return True
 
     # Members
@@ -319,25 +324,25 @@
         return newcomer
 
     async def _replace(self) -> bool:
-        """A machine is gone for good, and an empty one comes."""
+        """A node is removed permanently, and one with an empty disk is added."""
         if not self.budget.take():
             return False
         victim = self.draw.choice(self._machines())
-        victim.take_away()
+        victim.remove_permanently()
         del self.world.machines[victim.name]
-        await self._last((0.02, 1.0))
+        await self._wait((0.02, 1.0))
         self._newcomer()
         if self.draw.random() < 0.5:
             await self._another_loss()
         return True
 
     async def _planned_replacement(self) -> bool:
-        """An empty machine comes first, then an old one is told to end; another may be lost meanwhile."""
+        """Add a node with an empty disk, then stop an old one; another may be lost meanwhile."""
         victim = self.draw.choice(self._machines())
         if victim.replica is None or not victim.running():
             return False
         self._newcomer()
-        await self._last((1.0, 2.5))
+        await self._wait((1.0, 2.5))
         if not self.world.is_secured() or not victim.running():
             return False
         self._leaving.add(victim.name)
@@ -353,15 +358,15 @@
         await asyncio.wait({ended}, timeout=GRACE_S)
         victim.kill()
         if victim.released or self.budget.take():
-            victim.take_away()
+            victim.remove_permanently()
             del self.world.machines[victim.name]
         else:
-            victim.start()  # it was not let go in time: its disk is needed
+            victim.start()  # it was not released in time, so its disk is still needed
         self._leaving.discard(victim.name)
         return True
 
     async def _terminate(self) -> bool:
-        """Machines are stopped and started, one after the other."""
+        """Stop and start nodes, one after the other."""
         victims = self._machines() if self.draw.random() < 0.5 else self._victims()
         for victim in victims:
             if not victim.running() or victim.replica is None:
@@ -369,7 +374,7 @@
             ended = victim.terminate()
             await asyncio.wait({ended}, timeout=GRACE_S)
             victim.kill()
-            await self._last((0.02, 0.3, 1.0))
+            await self._wait((0.02, 0.3, 1.0))
             victim.start()
         return True
 
@@ -388,55 +393,55 @@
 
     # Load and timing
 
-    async def _storm(self) -> bool:
-        self.storming = True
-        await self._last((4.0,))
-        self.storming = False
+    async def _burst(self) -> bool:
+        self.is_bursting = True
+        await self._wait((4.0,))
+        self.is_bursting = False
         return True
 
     async def _kill_at_promise(self) -> bool:
-        """Whoever promises an epoch next is killed at once, or a little later, and starts again."""
+        """Kill the node that gives the next promise, at once or a little later, and restart it."""
         cuts = self._cut_off_leader()
         promise = await self._next_promise()
         if promise is not None:
             await asyncio.sleep(self.draw.choice([0.0, 0.005, 0.02, 0.06]))
             await self._restart(promise.witness, Machine.kill)
-        await self._last((0.02, 0.3))
-        self.world.network.mend(cuts)
+        await self._wait((0.02, 0.3))
+        self.world.network.restore(cuts)
         return True
 
     async def _power_at_promise(self) -> bool:
-        """Whoever is asked for a promise next loses power before its sync, within it, or right after it."""
+        """Cut the power of the node asked for the next promise: before, during or right after its sync."""
         cuts = self._cut_off_leader()
-        asked: asyncio.Future[Machine] = asyncio.get_running_loop().create_future()
+        requested: asyncio.Future[Machine] = asyncio.get_running_loop().create_future()
         machines = self._machines()
         for machine in machines:
-            machine.on_promise_asked = functools.partial(_settle, asked, machine)  # type: ignore[method-assign]
-        await asyncio.wait({asked}, timeout=PROMISE_PATIENCE_S)
+            machine.on_promise_request = functools.partial(_set_result, requested, machine)  # type: ignore[method-assign]
+        await asyncio.wait({requested}, timeout=PROMISE_TIMEOUT_S)
         for machine in machines:
-            machine.on_promise_asked = lambda: None  # type: ignore[method-assign]
-        if asked.done():
+            machine.on_promise_request = lambda: None  # type: ignore[method-assign]
+        if requested.done():
             await asyncio.sleep(self.draw.uniform(0.0, 2 * self.world.sync_s))
-            await self._restart(asked.result(), Machine.lose_power)
-        await self._last((0.02, 0.3))
-        self.world.network.mend(cuts)
+            await self._restart(requested.result(), Machine.lose_power)
+        await self._wait((0.02, 0.3))
+        self.world.network.restore(cuts)
         return True
 
     async def _old_primary_after_promise(self) -> bool:
-        """A witness restarts between its promise and the candidate's record, and hears the old primary first.
+        """Restart a witness between its promise and the record, so that the old primary reaches it first.
 
-        The candidate's disk is slow meanwhile, so that its record comes late.
+        The candidate's disk is slow meanwhile, so that its record arrives late.
         """
         cuts = self._cut_off_leader()
         promise = await self._next_promise()
         if promise is not None:
             await self._delay_record(promise, [cut for cut in cuts if promise.witness.address in cut])
-        await self._last((0.3, 1.0))
-        self.world.network.mend(cuts)
+        await self._wait((0.3, 1.0))
+        self.world.network.restore(cuts)
         return True
 
     async def _delay_record(self, promise: _Promise, cuts: list[tuple[str, str]]) -> None:
-        """Restart the witness behind these cuts before the record comes: the disk is slow, then the way."""
+        """Restart the cut-off witness before the record arrives, delayed by a slow disk and a slow link."""
         witness, candidate = promise.witness, self.world.machines.get(promise.candidate)
         if candidate is None:
             return
@@ -448,17 +453,17 @@
             await asyncio.wait_for(installed.wait(), 0.2)
         witness.on_installed = lambda: None  # type: ignore[method-assign]
         await asyncio.sleep(self.draw.choice([0.0, 0.005]))
-        self.world.network.mend(cuts)
+        self.world.network.restore(cuts)
         await self._restart(witness, Machine.lose_power, pause_s=0.001)
-        way = (candidate.address, witness.address)
-        self.world.network.late_s[way] = self.draw.choice([0.1, 0.3, 0.5])
-        await self._last((0.1, 0.2, 0.3))
+        link = (candidate.address, witness.address)
+        self.world.network.late_s[link] = self.draw.choice([0.1, 0.3, 0.5])
+        await self._wait((0.1, 0.2, 0.3))
         candidate.hang_disk(False)
-        await self._last((0.3, 1.0))
-        self.world.network.late_s.pop(way, None)
+        await self._wait((0.3, 1.0))
+        self.world.network.late_s.pop(link, None)
 
     def _cut_off_leader(self) -> list[tuple[str, str]]:
-        """Cut the primary off from the others, so that they stand for election soon; the cuts."""
+        """Cut the primary off from the others, so that they soon start an election; returns the cuts."""
         leader = self.world.primary()
         if leader is None:
             return []
@@ -466,59 +471,59 @@
         return self._cut_between([leader], others, both_ways=True)
 
     async def _next_promise(self) -> _Promise | None:
-        """The next promise that one machine gives another, the moment it is given; None if none comes."""
+        """Returns the next promise of one node to another as soon as it is given; None after the timeout."""
         promised: asyncio.Future[_Promise] = asyncio.get_running_loop().create_future()
         machines = self._machines()
         for machine in machines:
-            machine.on_promise = lambda candidate, it=machine: _settle(  # type: ignore[misc]
+            machine.on_promise = lambda candidate, it=machine: _set_result(  # type: ignore[misc]
                 promised, _Promise(it, candidate)
             )
-        await asyncio.wait({promised}, timeout=PROMISE_PATIENCE_S)
+        await asyncio.wait({promised}, timeout=PROMISE_TIMEOUT_S)
         for machine in machines:
             machine.on_promise = lambda candidate: None  # type: ignore[method-assign]
         return promised.result() if promised.done() else None
 
     async def _restart(
-        self, machine: Machine, strike: Callable[[Machine], object], pause_s: float | None = None
+        self, machine: Machine, inject: Callable[[Machine], object], pause_s: float | None = None
     ) -> None:
         if not machine.running():
             return
-        strike(machine)
+        inject(machine)
         await asyncio.sleep(self.draw.choice([0.001, 0.02, 0.1]) if pause_s is None else pause_s)
         machine.start()
 
     async def _wiped_beside_newcomer(self) -> bool:
-        """A machine comes back with an empty disk while an empty one is new: together they know no group.
+        """A node returns with an empty disk while another empty node is added; neither knows the group.
 
-        The settings of both name both as seeds, and they reach nobody else for longer than a group waits
-        for further founders. Neither is on its first start, so neither may found a group.
+        Both are configured as seeds of each other, and they reach no other node for longer than a bootstrap
+        waits for further seeds. Neither is on its first start, so neither may bootstrap a group.
         """
         victim = self.draw.choice(self._machines())
         if victim.replica is None or not self.budget.take():
             return False
         newcomer = self._newcomer(starts=False)
-        strangers = [victim, newcomer]
-        others = [machine for machine in self._machines() if machine not in strangers]
+        isolated = [victim, newcomer]
+        others = [machine for machine in self._machines() if machine not in isolated]
         seeds = (victim.address, newcomer.address, self.draw.choice(others).address)
-        cuts = self._cut_between(strangers, others, both_ways=True)
+        cuts = self._cut_between(isolated, others, both_ways=True)
         victim.wipe()
-        for stranger in strangers:
-            stranger.seeds = seeds
-            stranger.start()
-        await self._last(LONG_S[:1])
-        self.world.network.mend(cuts)
+        for node in isolated:
+            node.seeds = seeds
+            node.start()
+        await self._wait(LONG_S[:1])
+        self.world.network.restore(cuts)
         return True
 
 
 @dataclass(frozen=True, slots=True)
 class _Promise:
-    """A witness promised an epoch to the machine of this name."""
+    """A witness promised an epoch to the node named `candidate`."""
 
     witness: Machine
     candidate: str
 
 
-def _settle(future: asyncio.Future[Any], value: Any) -> None:
+def _set_result(future: asyncio.Future[Any], value: Any) -> None:
     if not future.done():
         future.set_result(value)
 
--- a/tests/system/control_simulation/history.py
+++ b/tests/system/control_simulation/history.py
@@ -1,4 +1,4 @@
-"""What operators, workers and readers saw, and the checks on it."""
+"""The history of answers to operators, workers and readers, and the checks of its consistency."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from arrowfold.replication.state import ControlState
 
-REVOKE_S = 3.0  # after its acknowledgement, no key that a change took away is served
-APPLY_S = 2.0  # after its acknowledgement, nothing older than a change is shown
+REVOKE_S = 3.0  # maximum time after the acknowledgement of a change until revoked keys are no longer served
+APPLY_S = 2.0  # maximum time after the acknowledgement of a change until nothing older is shown
 FILLER_ROUTES = 4
-PLATFORM_LEASE_S = 3.0  # two holders of a role never act within it
+PLATFORM_LEASE_S = 3.0  # minimum time between acts of two different holders of a role
 
 
 class Violation(AssertionError):
-    """The control state broke a promise."""
+    """The control state violated a guarantee."""
 
 
 @dataclass(slots=True)
@@ -30,18 +30,18 @@
     published: dict[int, bytes | None] = field(default_factory=dict)
     tokens: dict[int, str] = field(default_factory=dict)
     last_act: tuple[float, str, int] | None = None
-    acknowledged_at: list[tuple[float, int]] = field(default_factory=list)  # when, and the newest by then
-    turns_s: float = PLATFORM_LEASE_S  # within which no two holders may act by turns
+    acknowledged_at: list[tuple[float, int]] = field(default_factory=list)  # time, and newest version by then
+    min_takeover_s: float = PLATFORM_LEASE_S  # minimum time between acts of two different holders
     acts: int = 0
     reads: int = 0
-    least_version: int = 0  # that an edge may show: what was committed before everything lost power
+    least_version: int = 0  # lowest version that an edge may show: that committed before the last blackout
 
     def newest_acknowledged(self) -> int:
-        """The highest version that was acknowledged."""
+        """The highest acknowledged version."""
         return max(self.acknowledged, default=0)
 
     def acknowledge(self, version: int, base: int, marker: bytes) -> None:
-        """A change got 200."""
+        """Record a change that was answered with 200."""
         if self.acknowledged.setdefault(version, marker) != marker:
             raise Violation(f"two changes were acknowledged as version {version}")
         if self.acknowledged_bases.setdefault(base, marker) != marker:
@@ -50,35 +50,35 @@
             raise Violation(f"version {version} was refused and then acknowledged")
 
     def note_acknowledged(self, now: float, version: int) -> None:
-        """A change was acknowledged at this time."""
+        """Record the time of an acknowledgement."""
         newest = max(version, self.acknowledged_at[-1][1] if self.acknowledged_at else 0)
         self.acknowledged_at.append((now, newest))
 
     def least_shown(self, now: float, apply_s: float = APPLY_S) -> int:
-        """The oldest version that may still be shown: the newest acknowledged `apply_s` ago or earlier."""
+        """The lowest version that may still be shown: the newest acknowledged at least `apply_s` ago."""
         due = bisect.bisect_left(self.acknowledged_at, (now - apply_s, 0))
         return self.acknowledged_at[due - 1][1] if due else 0
 
     def serve_keys(self, now: float, version: int, who: str) -> None:
-        """An edge serves keyed requests by this version."""
+        """Check the version by which an edge serves requests with API keys."""
         least = self.least_shown(now, REVOKE_S)
         if version < least:
             raise Violation(f"{who} serves keys by version {version}, {least} was acknowledged long ago")
 
     def show(self, now: float, version: int, who: str) -> None:
-        """Somebody who claims to be current shows this version."""
+        """Check the version shown by a node that claims to be current."""
         least = self.least_shown(now)
         if version < least:
             raise Violation(f"{who} shows version {version} as current, {least} was acknowledged long ago")
 
     def refuse(self, version: int, marker: bytes) -> None:
-        """A change got a clear 4xx."""
+        """Record a change that was refused with a definite 4xx."""
         self.refused.add(marker)
         if self.acknowledged.get(version) == marker:
             raise Violation(f"version {version} was acknowledged and then refused")
 
     def read(self, body: bytes, newest_before: int) -> int:
-        """A read got this; `newest_before` was acknowledged before it began."""
+        """Check a read; `newest_before` is the newest version acknowledged before it began."""
         self.reads += 1
         version, marker = describe(body)
         if version < newest_before:
@@ -93,7 +93,7 @@
             raise Violation(f"version {version} is not what was acknowledged under it")
 
     def publish(self, before: ControlState, after: ControlState, machine: str) -> None:
-        """A member made a committed state visible."""
+        """Check a committed state that a member has published."""
         if after.sequence < before.sequence:
             raise Violation(f"{machine} went back from {before.sequence} to {after.sequence}")
         if self.published.setdefault(after.sequence, after.configuration) != after.configuration:
@@ -106,7 +106,7 @@
                 raise Violation(f"token {tenure.token} was given to two holders")
 
     def act(self, now: float, holder: str, token: int) -> None:
-        """A holder acted under the one role of the simulation."""
+        """Check an act of a holder under the simulation's only role."""
         self.acts += 1
         before = self.last_act
         self.last_act = (now, holder, token)
@@ -115,20 +115,20 @@
         last_at, last_holder, last_token = before
         if token < last_token or (token == last_token and holder != last_holder):
             raise Violation(f"{holder} acted under token {token} after {last_holder} under {last_token}")
-        if holder != last_holder and now - last_at < self.turns_s:
+        if holder != last_holder and now - last_at < self.min_takeover_s:
             raise Violation(f"{holder} acted {now - last_at:.3f} s after {last_holder}")
 
     def newest_committed(self) -> int:
-        """The highest position that anyone saw as committed."""
+        """The highest log position that any member published as committed."""
         return max(self.published, default=0)
 
     def newest_committed_version(self) -> int:
-        """The version at that position, 0 for none."""
+        """The configuration version at that position, 0 for none."""
         configuration = self.published.get(self.newest_committed())
         return 0 if configuration is None else describe(configuration)[0]
 
     def check_end(self, state: ControlState) -> None:
-        """The state after everything healed holds all that was acknowledged, and all that was committed."""
+        """Check that the final state has everything that was acknowledged or published as committed."""
         if state.sequence < self.newest_committed():
             raise Violation(f"what was committed at position {self.newest_committed()} is gone")
         if state.last_token < max(self.tokens, default=0):
@@ -149,15 +149,15 @@
 
 @functools.lru_cache(maxsize=4096)
 def describe(body: bytes) -> tuple[int, bytes]:
-    """The version of a configuration of the simulation, and the marker of the change that made it."""
+    """The version of a simulated configuration, and the marker of the change that created it."""
     value = json.loads(body)
     return value["version"], value["routes"][-1]["name"].encode()
 
 
 def document(version: int, marker: str) -> bytes:
-    """A configuration that carries a marker as the name of its last route.
+    """A configuration with `marker` as the name of its last route.
 
-    The others make it long enough for its changes to be stored and handed on as patches.
+    The filler routes make it long enough for changes to be stored and distributed as patches.
     """
     route = {
         "name": marker,
--- a/tests/system/control_simulation/lives.py
+++ b/tests/system/control_simulation/lives.py
@@ -1,4 +1,4 @@
-"""An event loop whose callbacks belong to lives of machines, so that lives can be killed or frozen."""
+"""An event loop whose callbacks belong to process runs of nodes, so that runs can be killed or frozen."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Life:
-    """One run of the processes of a machine."""
+    """One run of a node's process, from its start to its end."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -23,10 +23,10 @@
 
 
 class LivesLoop(VirtualTimeLoop):
-    """Drops the callbacks of dead lives, and holds those of frozen ones until they wake."""
+    """Drops the callbacks of ended runs and holds those of frozen ones until they are thawed."""
 
     def run_handle(self, handle: Handle) -> None:
-        """Run one callback, unless its life has ended or stands still."""
+        """Run one callback, unless its run has ended or is frozen."""
         life = handle.context.get(CURRENT_LIFE)
         if life is None or not (life.dead or life.frozen):
             super().run_handle(handle)
@@ -34,16 +34,16 @@
             life.held.append(handle)
 
     def kill(self, life: Life) -> None:
-        """End a life at once: nothing of it runs again, not even its clean-up."""
+        """End a run at once: none of its callbacks run again, not even clean-up."""
         life.dead = True
         life.held.clear()
 
     def freeze(self, life: Life) -> None:
-        """Let a life stand still."""
+        """Stop running the callbacks of a run."""
         life.frozen = True
 
     def thaw(self, life: Life) -> None:
-        """Let a life go on; everything that came due meanwhile happens now."""
+        """Resume a run; all callbacks that became due meanwhile run now."""
         life.frozen = False
         self._ready.extend(life.held)
         life.held = []
--- a/tests/system/control_simulation/machines.py
+++ b/tests/system/control_simulation/machines.py
@@ -1,4 +1,4 @@
-"""Core machines of the simulation: the real replication code on simulated disks, network and clocks."""
+"""Simulated control nodes: the real replication code on simulated disks, network and clocks."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Trace:
-    """What happened, with virtual time: read it when a schedule fails."""
+    """A log of events with virtual times, for the analysis of a failed schedule."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -48,7 +48,7 @@
 
 
 class TraceLog:
-    """The event log of one machine, written to the trace."""
+    """The event log of one node, written to the trace."""
 
     def __init__(self, trace: Trace, machine: str) -> None:
         self._trace = trace
@@ -68,10 +68,10 @@
 ACT_INTERVAL_S = 0.05
 
 
-def outside_handlers(
+def external_handlers(
     configurations: ConfigurationService, registrations: RegistrationService
 ) -> dict[type[Any], Any]:
-    """What the internal interface and, under their own messages, the operator and workers call."""
+    """The handlers of internal messages, and of the simulation's messages for operators and workers."""
 
     async def operator_change(call: OperatorChange) -> SubmitResult:
         return await configurations.submit(SubmitChange(call.kind, call.if_match, call.body))
@@ -93,7 +93,7 @@
 
 
 class Machine:
-    """A core machine with its disk; `start` runs the control state on it."""
+    """A control node with its disk; `start` runs the replicated control state on it."""
 
     def __init__(
         self,
@@ -118,8 +118,8 @@
         self.hand_over_s = PLATFORM_LEASE_S
         self.roles: tuple[str, ...] = (ROLE,)
         self.identities = 0
-        self.gone = False  # taken away for good
-        self.released = False  # whether the last SIGTERM ended with the consent of the others
+        self.gone = False  # removed permanently
+        self.released = False  # whether the group released this node after the last SIGTERM
         self.compact_bytes = COMPACT_BYTES
         self._losses = losses
         self._trace = trace
@@ -135,15 +135,15 @@
         return loop
 
     def running(self) -> bool:
-        """Whether its processes run."""
+        """Whether its process is running and not frozen."""
         return self.life is not None and not self.life.dead and not self.life.frozen
 
     def clock(self) -> float:
-        """The steady clock of this machine; machines differ slightly in speed."""
+        """The steady clock of this node; clocks differ slightly in speed."""
         return asyncio.get_running_loop().time() * self._clock_rate
 
     def start(self) -> None:
-        """Start its processes, unless the machine was taken away."""
+        """Start its process, unless it is running or was removed permanently."""
         if self.gone:
             return
         if self.life is not None and not self.life.dead:
@@ -172,8 +172,8 @@
         distributor = Distributor(replica, registry, presence, lambda: (), notices)
         replica.add_listener(distributor.wake_urgently)
         handlers = {
-            **self._telling_promises(self.wrap_handlers(replica)),
-            **outside_handlers(service, registrations),
+            **self._observe_promises(self.wrap_handlers(replica)),
+            **external_handlers(service, registrations),
             PullRequest: distributor.pull,
         }
         self.network.listen(self.address, life, handlers)
@@ -186,7 +186,7 @@
         await replica.run()
 
     async def _open(self, worker: SimulatedDiskWorker) -> Replica:
-        new = NewIdentity(self.next_identity(), self.may_found(), self.seeds)
+        new = NewIdentity(self.next_identity(), self.may_bootstrap(), self.seeds)
         opened = await worker.run(lambda: open_storage(self.folder, new))
         identity = opened.identity
         if opened.damage is not None:
@@ -209,28 +209,28 @@
         return replica
 
     def next_identity(self) -> str:
-        """The identity that is drawn on an empty disk."""
+        """The identity for an empty disk."""
         self.identities += 1
         return f"{self.name}-{self.identities}"
 
-    def may_found(self) -> bool:
-        """Whether this start is the first of the whole system."""
+    def may_bootstrap(self) -> bool:
+        """Whether this is the first start of the whole system, at which a group may be bootstrapped."""
         return self.first_start
 
     def make_member(
         self, info: MemberInfo, founder: bool, durable: DurableImage, events: TraceLog
     ) -> GroupMember:
-        """The member; planted faults replace this."""
+        """Create the member; planted faults override this."""
         return GroupMember(info, founder, durable, self.clock, self.timings, events)
 
     def wrap_handlers(self, replica: Replica) -> dict[type[Any], Any]:
-        """The handlers of calls; planted faults replace this."""
+        """The handlers of calls; planted faults override this."""
         return replica.handlers()
 
-    def _telling_promises(self, handlers: dict[type[Any], Any]) -> dict[type[Any], Any]:
+    def _observe_promises(self, handlers: dict[type[Any], Any]) -> dict[type[Any], Any]:
         async def prepare(request: PrepareEpoch) -> Any:
             if not request.trial:
-                self.on_promise_asked()
+                self.on_promise_request()
             answer = await handlers[PrepareEpoch](request)
             if answer.granted and not request.trial:
                 self.on_promise(request.candidate.name)
@@ -245,31 +245,34 @@
         return {**handlers, PrepareEpoch: prepare, InstallState: install}
 
     def _act(self, authority: RoleAuthority) -> None:
-        """Act under the role if this machine may."""
+        """Act under the role if this node may."""
         held = authority.held(ROLE)
         if held is not None:
             self.on_act(authority.holder, held.token)
 
-    def on_promise_asked(self) -> None:
-        """Called before this machine looks at another's request for a promise."""
+    def on_promise_request(self) -> None:
+        """Called before this node handles a request for a promise."""
 
     def on_promise(self, candidate: str) -> None:
-        """Called after this machine promised an epoch to another, which has not heard of it yet."""
+        """Called after this node has promised an epoch, before the candidate receives the answer."""
 
     def on_installed(self) -> None:
-        """Called after this machine stored the state of another's epoch, which has not heard of it yet."""
+        """Called after this node has stored an initial state, before the candidate receives the answer."""
 
     def on_act(self, holder: str, token: int) -> None:
-        """Called whenever this machine acts under the role."""
+        """Called whenever this node acts under the role."""
 
     def on_damage(self, reason: str) -> None:
-        """Called when synced bytes did not read back: on these disks that must not happen."""
+        """Called when synced bytes are damaged, which must not happen on the simulated disks."""
 
     def on_started(self, replica: Replica) -> None:
-        """Called with the replica of each life; the world watches it from here."""
+        """Called with the replica of each process run; the world observes it from then on."""
 
     def terminate(self, lingers_s: float = 0.0) -> asyncio.Task[None]:
-        """SIGTERM: it leaves in order, and its processes end `lingers_s` after that; done once they ended."""
+        """Simulate SIGTERM: the node leaves the group, and its process ends `lingers_s` later.
+
+        The task is done when the process has ended.
+        """
         assert self.life is not None
         replica = self.replica
 
@@ -290,44 +293,44 @@
         return asyncio.create_task(end(self.life))
 
     def kill(self) -> None:
-        """SIGKILL: the files stay as they were."""
+        """Simulate SIGKILL: the process ends, and all written data is kept."""
         if self.life is not None:
             self.loop.kill(self.life)
             self.replica = None
             self._trace.add(self.name, "killed")
 
-    def take_away(self) -> None:
-        """It is gone for good, with its disk."""
+    def remove_permanently(self) -> None:
+        """Remove the node and its disk permanently."""
         self.kill()
         self.gone = True
 
     def lose_power(self) -> None:
-        """The processes end, and unsynced writes are kept or lost each by itself."""
+        """End the process; each unsynced write is kept or lost independently."""
         self.kill()
         self.folder.lose_power(self.network.draw)
         self.first_start = False
 
     def wipe(self) -> None:
-        """The processes end, and the disk comes back empty."""
+        """End the process and replace the disk by an empty one."""
         self.kill()
         self.folder = SimulatedFolder()
         self.first_start = False
         self._trace.add(self.name, "wiped")
 
     def freeze(self) -> None:
-        """Let its processes stand still."""
+        """Freeze its process."""
         if self.life is not None:
             self.loop.freeze(self.life)
             self._trace.add(self.name, "frozen")
 
     def thaw(self) -> None:
-        """Let its processes go on."""
+        """Resume its process."""
         if self.life is not None:
             self.loop.thaw(self.life)
             self._trace.add(self.name, "thawed")
 
     def hang_disk(self, hangs: bool) -> None:
-        """Let the disk answer nothing, or answer again."""
+        """Make disk operations hang, or complete again."""
         if self.worker is not None:
             (self.worker.running.clear if hangs else self.worker.running.set)()
             self._trace.add(self.name, "disk", hangs=hangs)
--- a/tests/system/control_simulation/network.py
+++ b/tests/system/control_simulation/network.py
@@ -1,4 +1,4 @@
-"""A network in memory between machines: delays, lost connections, cuts in one direction or both."""
+"""A simulated network in memory: delays, losses, resets, and partitions in one or both directions."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 Handlers = dict[type[Any], Callable[[Any], Awaitable[Any]]]
 CallResult = Result[Any, ChannelError]
-NETWORK = contextvars.Context()  # what is on its way belongs to no machine: its sender's end doesn't stop it
+NETWORK = contextvars.Context()  # messages in flight belong to no node, so they outlive their sender
 
 
 @dataclass(slots=True)
 class _Call:
-    """A call under way: who called where, and what the caller will get."""
+    """A call in progress, with the future of the caller's result."""
 
     sender: str
     address: str
@@ -30,54 +30,54 @@
     reply: asyncio.Future[CallResult]
 
     def end(self, result: CallResult) -> None:
-        """Give the caller its result, unless it has one."""
+        """Resolve the caller's result, unless it is resolved."""
         if not self.reply.done():
             self.reply.set_result(result)
 
     def fail(self, reason: str) -> None:
-        """The caller learns that the connection failed."""
+        """Resolve the caller's result with a connection error."""
         self.end(Err(ChannelError(f"{self.address}: {reason}")))
 
 
 class SimulatedNetwork:
-    """Who listens where, and which ways are cut."""
+    """The listeners by address, and the links that are cut."""
 
     def __init__(self, draw: random.Random, delay_s: float = 0.001) -> None:
         self.draw = draw
         self.delay_s = delay_s
         self.loss = 0.0
-        self.slow_share = 0.0  # of messages that are late by up to `slow_s`
+        self.slow_share = 0.0  # share of messages that are delayed by up to `slow_s`
         self.slow_s = 0.4
-        self.reset_share = 0.0  # of calls, whose connection ends before, while or after they are served
-        self.answer_loss: dict[str, float] = {}  # by caller's address: the share of its answers that are lost
-        self.late_s: dict[tuple[str, str], float] = {}  # by sender and receiver
-        self.encodes = True  # messages travel as bytes; else as they are, frozen, which costs a third less
+        self.reset_share = 0.0  # share of calls whose connection is reset before, during or after handling
+        self.answer_loss: dict[str, float] = {}  # by caller's address: share of answers that are lost
+        self.late_s: dict[tuple[str, str], float] = {}  # additional delay by sender and receiver
+        self.encodes = True  # send messages as bytes; else as immutable objects, which is a third cheaper
         self._cuts: set[tuple[str, str]] = set()
         self._listeners: dict[str, tuple[Life, Handlers]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def listen(self, address: str, life: Life, handlers: Handlers) -> None:
-        """Let a life answer calls at an address."""
+        """Let a process run handle calls to an address."""
         self._listeners[address] = (life, handlers)
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Lose everything from one address to another."""
+        """Drop all messages from one address to another."""
         self._cuts.add((sender, receiver))
 
-    def mend(self, cuts: list[tuple[str, str]]) -> None:
-        """Undo these cuts."""
+    def restore(self, cuts: list[tuple[str, str]]) -> None:
+        """Remove these cuts."""
         self._cuts.difference_update(cuts)
 
     def heal(self) -> None:
-        """Undo all cuts."""
+        """Remove all cuts."""
         self._cuts.clear()
 
     async def call(self, sender: str, address: str, request: Any, timeout_s: float) -> CallResult:
-        """A call as `ChannelClient` makes it."""
+        """Make a call, with the same results as `ChannelClient`."""
         loop = asyncio.get_running_loop()
         call = _Call(sender, address, self._packed(request), loop.create_future())
         expiry = loop.call_later(timeout_s, call.fail, f"no answer in {timeout_s} s")
-        self._travel(sender, address, lambda: self._deliver(call))
+        self._transmit(sender, address, lambda: self._deliver(call))
         try:
             return await call.reply
         finally:
@@ -89,8 +89,8 @@
     def _unpacked(self, value: Any) -> Any:
         return decode(value) if self.encodes else value
 
-    def _travel(self, sender: str, receiver: str, arrive: Callable[[], object]) -> None:
-        """Let something arrive after its delay, unless the way is cut then or it gets lost."""
+    def _transmit(self, sender: str, receiver: str, arrive: Callable[[], object]) -> None:
+        """Call `arrive` after a delay, unless the link is cut at that time or the message is lost."""
         delay_s = self.delay_s * (0.5 + self.draw.random())
         delay_s += self.late_s.get((sender, receiver), 0.0)
         if self.draw.random() < self.slow_share:
@@ -124,13 +124,13 @@
         request = self._unpacked(call.request)
         try:
             answer = self._packed(await handlers[type(request)](request))
-        except Exception as error:  # as the channel answers a failed handler
+        except Exception as error:  # like the channel's answer for a failed handler
             call.fail(f"{type(error).__name__}: {error}")
             return
         if self._is_reset():
             call.fail("connection reset")
         elif not call.reply.done():
-            self._travel(call.address, call.sender, lambda: self._answer(call, answer))
+            self._transmit(call.address, call.sender, lambda: self._answer(call, answer))
 
     def _answer(self, call: _Call, answer: Any) -> None:
         if self.draw.random() < self.answer_loss.get(call.sender, 0.0):
@@ -140,7 +140,7 @@
 
 
 class SimulatedCaller:
-    """The `Caller` of one address."""
+    """The `Caller` of the node at one address."""
 
     def __init__(self, network: SimulatedNetwork, address: str) -> None:
         self._network = network
--- a/tests/system/control_simulation/outside.py
+++ b/tests/system/control_simulation/outside.py
@@ -1,4 +1,4 @@
-"""Calls from outside the group, as messages of the simulated network."""
+"""Calls by operators and workers, as messages of the simulated network."""
 
 from __future__ import annotations
 
--- a/tests/system/control_simulation/planted.py
+++ b/tests/system/control_simulation/planted.py
@@ -1,4 +1,4 @@
-"""Faults planted in the control state, each of which the schedules must find. None exists in the program."""
+"""Faults planted in the control state, none of which exists in the program; the schedules must find each."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def _acknowledge_before_sync() -> AbstractContextManager[Any]:
-    """Writes are answered before they are durable."""
+    """Writes are acknowledged before they are durable."""
     return patch.object(SimulatedFolder, "no_file_sync", True, create=True)
 
 
@@ -43,27 +43,27 @@
 
 
 def _no_amnesia_guard() -> AbstractContextManager[Any]:
-    """A wiped machine takes up the identity that it forgot."""
+    """A wiped node reuses its former identity."""
     return patch.object(Machine, "next_identity", lambda self: f"{self.name}-1")
 
 
-def _everyone_founds() -> AbstractContextManager[Any]:
-    """A wiped machine may found a group as on the first start."""
-    return patch.object(Machine, "may_found", lambda self: True)
+def _wiped_node_bootstraps() -> AbstractContextManager[Any]:
+    """A wiped node may bootstrap a group as on the first start."""
+    return patch.object(Machine, "may_bootstrap", lambda self: True)
 
 
 def _no_primary_lease() -> AbstractContextManager[Any]:
-    """A primary answers until it hears of another."""
+    """A primary answers without a lease until its term ends."""
     return patch.object(PrimaryTerm, "has_lease", lambda self: not self.ended)
 
 
 def _no_witness_lease() -> AbstractContextManager[Any]:
-    """A witness promises at any time."""
+    """A witness gives promises regardless of leases."""
     return patch.object(GroupMember, "grant_lease", lambda self, holder: None)
 
 
 def _volatile_promise() -> AbstractContextManager[Any]:
-    """A promise is kept in memory alone."""
+    """A promise is kept only in memory."""
 
     async def prepare(self: GroupMember, request: PrepareEpoch) -> PrepareAnswer:
         reason = self._refusal_reason(request)
@@ -77,7 +77,7 @@
 
 
 def _volatile_append() -> AbstractContextManager[Any]:
-    """A backup answers an append that it keeps in memory alone."""
+    """A backup acknowledges an append that it keeps only in memory."""
     original = DurableImage._write
 
     async def write(self: DurableImage, records: Any) -> Any:
@@ -89,7 +89,7 @@
 
 
 def _one_volatile_member() -> AbstractContextManager[Any]:
-    """One member confirms entries that it keeps in memory alone."""
+    """One member acknowledges entries that it keeps only in memory."""
     original = Machine.make_member
 
     def make_member(
@@ -110,7 +110,7 @@
 
 
 def _commit_without_backups() -> AbstractContextManager[Any]:
-    """A change counts as committed although backups did not store it."""
+    """A change is committed although backups did not store it."""
     original = PrimaryTerm._append_everywhere
 
     async def append(self: PrimaryTerm, request: Any) -> set[str]:
@@ -121,7 +121,7 @@
 
 
 def _any_source() -> AbstractContextManager[Any]:
-    """A new epoch starts from the state of whoever promised."""
+    """A new epoch starts from the state of any member that promised."""
 
     def sources(promises: Promises) -> list[PrepareAnswer]:
         return sorted(promises.granted.values(), key=lambda answer: answer.position.key())[:1]
@@ -130,7 +130,7 @@
 
 
 def _install_claimed() -> AbstractContextManager[Any]:
-    """A member says that it stored the starting state although it did not."""
+    """A member claims to have stored the initial state although it did not."""
 
     async def install(self: GroupMember, request: Any) -> Verdict:
         image = self.durable.image
@@ -141,7 +141,7 @@
 
 
 def _forgotten_digests() -> AbstractContextManager[Any]:
-    """Accepted changes are not remembered for a caller that sends again."""
+    """Accepted changes are not remembered for a caller that retries."""
     original = state._apply_configuration
 
     def apply(before: Any, entry: Any, sequence: int) -> Any:
@@ -150,7 +150,7 @@
     return patch.object(state, "_apply_configuration", apply)
 
 
-def _no_hand_over_wait() -> AbstractContextManager[Any]:
+def _no_handover_wait() -> AbstractContextManager[Any]:
     """A new holder of a role acts at once."""
     original = roles.RoleAuthority.__init__
 
@@ -161,7 +161,7 @@
 
 
 def _token_kept() -> AbstractContextManager[Any]:
-    """A role passes on under the token that it had."""
+    """A role is reassigned under the same token."""
 
     def apply(before: Any, entry: Any, sequence: int) -> Any:
         tenure = state.RoleTenure(entry.member, 1)
@@ -171,7 +171,7 @@
 
 
 def _publish_uncommitted() -> AbstractContextManager[Any]:
-    """A backup shows what it stored before it is committed."""
+    """A backup publishes entries before they are committed."""
     original = GroupMember.append
 
     async def append(self: GroupMember, request: Any) -> Verdict:
@@ -184,7 +184,7 @@
 
 
 def _old_epoch_appends() -> AbstractContextManager[Any]:
-    """A backup takes entries of a primary that was superseded."""
+    """A backup accepts entries of a superseded primary."""
 
     async def append(self: GroupMember, request: Any) -> Verdict:
         return await self._write_durably(lambda image: Ok(EntriesAppended(request.epoch, request.entries)))
@@ -192,8 +192,8 @@
     return patch.object(GroupMember, "append", append)
 
 
-def _current_for_ever() -> AbstractContextManager[Any]:
-    """A control node counts as current however long ago it heard the primary."""
+def _always_current() -> AbstractContextManager[Any]:
+    """A control node counts as current regardless of the age of the primary's last confirmation."""
 
     def is_current(self: GroupMember) -> bool:
         record = self.image.record
@@ -207,7 +207,7 @@
 
 
 def _no_lease_after_restart() -> AbstractContextManager[Any]:
-    """A witness that restarts grants leases and promises at once."""
+    """A witness gives promises right after a restart, without waiting for a lease to expire."""
     original = GroupMember.__init__
 
     def initialise(self: GroupMember, *arguments: Any, **named: Any) -> None:
@@ -218,7 +218,7 @@
 
 
 def _current_by_any_heartbeat() -> AbstractContextManager[Any]:
-    """Point 1: a heartbeat makes a backup current by the time at which it is read."""
+    """A heartbeat makes a backup current from the time at which it is handled."""
     original = GroupMember.heartbeat
 
     async def heartbeat(self: GroupMember, request: Any) -> Any:
@@ -231,12 +231,12 @@
 
 
 def _any_precondition() -> AbstractContextManager[Any]:
-    """Point 2: changes on one version are all taken."""
+    """All changes based on the same version are accepted."""
     return patch.object(changes, "_precondition_fault", lambda current, if_match: None)
 
 
-def _ends_at_once() -> AbstractContextManager[Any]:
-    """Point 3: a member that is told to end does not wait for its release."""
+def _leaves_without_release() -> AbstractContextManager[Any]:
+    """A stopping member does not wait for its release."""
 
     async def leave(self: Replica) -> bool:
         return True
@@ -246,7 +246,7 @@
 
 @contextlib.contextmanager
 def _diff_on_any_base() -> Iterator[None]:
-    """Point 4: steps of the configuration are sent and taken whatever the puller holds."""
+    """Configuration patches are sent and applied regardless of the puller's version."""
 
     def updates(held: Any, since: int) -> Any:
         if held.configuration is None or held.configuration_sequence <= since:
@@ -275,7 +275,7 @@
 
 
 def _answers_exchanged() -> AbstractContextManager[Any]:
-    """Point 5: an answer of a batch goes to the next caller of it."""
+    """Each answer of a batch goes to the next caller of the batch."""
 
     def settle(self: Batch) -> None:
         answers = [answer for _, answer in self.answers]
@@ -285,8 +285,8 @@
     return patch.object(Batch, "settle", settle)
 
 
-def _counted_from_the_answer() -> AbstractContextManager[Any]:
-    """An edge counts how fresh it is from when an answer is read."""
+def _fresh_from_the_answer() -> AbstractContextManager[Any]:
+    """An edge counts its freshness from the time at which an answer is handled."""
     original = StateFreshness.answered
 
     def answered(self: StateFreshness, _: float, state_age_s: float) -> None:
@@ -295,8 +295,8 @@
     return patch.object(StateFreshness, "answered", answered)
 
 
-def _backup_of_no_age() -> AbstractContextManager[Any]:
-    """A backup tells that its state is as new as the primary's."""
+def _age_zero_on_backup() -> AbstractContextManager[Any]:
+    """A backup reports the age 0 for its state."""
 
     def state_age_s(self: GroupMember) -> float | None:
         return 0.0 if self.is_current() else None
@@ -304,13 +304,13 @@
     return patch.object(GroupMember, "state_age_s", state_age_s)
 
 
-def _current_for_ever_of_no_age() -> AbstractContextManager[Any]:
-    """A backup vouches for its state however long ago it heard the primary."""
+def _age_zero_always() -> AbstractContextManager[Any]:
+    """A backup reports the age 0 regardless of the age of the primary's last confirmation."""
     return patch.object(GroupMember, "state_age_s", lambda self: 0.0)
 
 
-def _primary_of_no_age() -> AbstractContextManager[Any]:
-    """A primary vouches for its state until it hears of another, lease or none."""
+def _age_zero_on_primary() -> AbstractContextManager[Any]:
+    """A primary reports the age 0 for its state until its term ends, with or without a lease."""
     original = Replica.state_age_s
 
     def state_age_s(self: Replica) -> float | None:
@@ -319,8 +319,8 @@
     return patch.object(Replica, "state_age_s", state_age_s)
 
 
-def _told_is_held() -> AbstractContextManager[Any]:
-    """An edge counts answers that tell of a newer state than it holds."""
+def _always_holds_state() -> AbstractContextManager[Any]:
+    """An edge counts answers that report a newer state than it holds."""
     return patch.object(FleetTables, "holds_state", lambda self, vector: True)
 
 
@@ -328,7 +328,7 @@
     "acknowledge before sync": _acknowledge_before_sync,
     "no folder sync": _no_folder_sync,
     "no amnesia guard": _no_amnesia_guard,
-    "a wiped machine founds": _everyone_founds,
+    "a wiped machine founds": _wiped_node_bootstraps,
     "primary without lease": _no_primary_lease,
     "witness without lease": _no_witness_lease,
     "promise in memory": _volatile_promise,
@@ -338,27 +338,27 @@
     "state from anyone": _any_source,
     "install claimed": _install_claimed,
     "digests forgotten": _forgotten_digests,
-    "no wait at hand-over": _no_hand_over_wait,
+    "no wait at hand-over": _no_handover_wait,
     "token kept": _token_kept,
     "uncommitted published": _publish_uncommitted,
     "entries of old epochs": _old_epoch_appends,
-    "current for ever": _current_for_ever,
+    "current for ever": _always_current,
     "no lease after a restart": _no_lease_after_restart,
     "current by any heartbeat": _current_by_any_heartbeat,
     "any precondition": _any_precondition,
-    "ends at once": _ends_at_once,
+    "ends at once": _leaves_without_release,
     "diff on any base": _diff_on_any_base,
     "answers exchanged": _answers_exchanged,
-    "fresh from the answer on": _counted_from_the_answer,
-    "a backup of no age": _backup_of_no_age,
-    "a backup vouches for ever": _current_for_ever_of_no_age,
-    "a primary vouches without lease": _primary_of_no_age,
-    "told is held": _told_is_held,
+    "fresh from the answer on": _fresh_from_the_answer,
+    "a backup of no age": _age_zero_on_backup,
+    "a backup vouches for ever": _age_zero_always,
+    "a primary vouches without lease": _age_zero_on_primary,
+    "told is held": _always_holds_state,
 }
 
 
 @contextlib.contextmanager
 def planted(name: str) -> Iterator[None]:
-    """The fault of this name, as long as the context lasts."""
+    """Plant the fault of this name for the duration of the context."""
     with PLANTED[name]():
         yield
--- a/tests/system/control_simulation/schedules.py
+++ b/tests/system/control_simulation/schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults beside operators, readers, workers and edges, in virtual time."""
+"""Random schedules of faults in virtual time, with concurrent operators, readers, workers and edges."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from tests.system.control_simulation.world import WATCH_INTERVAL_S, World, run_world
 from tests.system.virtual_time import Repeating
 
-CATCH_UP_S = 4.0  # a machine counts as lost for so long after it came back
-LOOK_S = 0.1  # between looks at whether the group has recovered
-CALM_FAULTS = 5  # one after the other, each once the group has recovered from the one before
-HARSH_FAULTS = 7  # in each of two lanes beside one another
-LONGEST_PAUSE_S = 1.2  # before a fault
-COMPACT_BYTES = 20_000  # of a segment, so that every schedule goes through compactions
-EDGES_S = 3.0  # after all trouble, for every edge to have what is in force
-CHANGE_S = 6.0  # for which an operator sends the same change
-ENCODED_SHARE = 8  # one schedule in so many sends its messages as bytes
-QUIET_AFTER_S = 1.5  # once the last fault has ended for so long, callers pause longer
-OPERATOR_PAUSE_S = 0.4  # at most, between an operator's changes
-STORM_PAUSE_S = 0.02  # at most, while changes storm
+CATCH_UP_S = 4.0  # time after its return for which a node still counts as lost
+CHECK_INTERVAL_S = 0.1  # interval of checks for the group's recovery
+CALM_FAULTS = 5  # sequential faults, each after the group has recovered from the previous one
+HARSH_FAULTS = 7  # faults in each of two concurrent sequences
+MAX_PAUSE_S = 1.2  # maximum pause before a fault
+COMPACT_BYTES = 20_000  # size of a segment, small enough for compactions in every schedule
+EDGES_S = 3.0  # time after the last fault until every edge must have the newest configuration
+CHANGE_S = 6.0  # time for which an operator retries a change
+ENCODED_SHARE = 8  # one schedule in this many sends its messages as bytes
+QUIET_AFTER_S = 1.5  # time after the last fault from which callers pause longer
+OPERATOR_PAUSE_S = 0.4  # maximum pause between an operator's changes
+STORM_PAUSE_S = 0.02  # the same during a burst of changes
 READ_PAUSE_S = 0.15
-DEPARTURE_PAUSE_S = 0.6  # at most
+DEPARTURE_PAUSE_S = 0.6  # maximum pause between departures
 QUIET_PAUSE_FACTOR = 4.0
-REMEMBERED_DOCUMENTS = 256
+CACHED_DOCUMENTS = 256
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What one schedule did, and what was wrong, if anything."""
+    """The counts of one schedule, and its violation, if any."""
 
     seed: int
     faults: Counter[str] = field(default_factory=Counter)
@@ -65,13 +65,13 @@
         self.outcome = Outcome(seed)
         self._budget = DiskBudget(self.world)
         self._faults = Faults(self.world, self.draw, self._budget)
-        # Harsh schedules overlap faults beyond the losses to be borne: only availability may suffer.
+        # Harsh schedules overlap faults beyond the tolerated losses: only availability may be reduced.
         self._harsh = self.draw.random() < 0.5
-        self._under_way = 0  # faults
-        self._last_fault_s = 0.0  # when one began or ended last
+        self._active_faults = 0
+        self._last_fault_s = 0.0  # time of the last start or end of a fault
 
     async def run(self) -> Outcome:
-        """Play the schedule; violations are in the outcome."""
+        """Run the schedule; a violation is reported in the outcome."""
         try:
             await self._play()
             self.world.require_sound()
@@ -89,11 +89,11 @@
         world = self.world
         self._start()
         await world.until_primary(12.0)
-        watch = Repeating(WATCH_INTERVAL_S, self._look)
+        watch = Repeating(WATCH_INTERVAL_S, self._check)
         works = [self._operate(), self._operate(), self._read(), self._depart()]
         callers = [asyncio.create_task(work) for work in works]
         loop = asyncio.get_running_loop()
-        await self._trouble()
+        await self._inject_faults()
         for caller in callers:
             caller.cancel()
         started = loop.time()
@@ -105,19 +105,19 @@
             await self._edges_follow()
         watch.cancel()
 
-    async def _trouble(self) -> None:
-        """All faults of the schedule."""
+    async def _inject_faults(self) -> None:
+        """Inject all faults of the schedule."""
         lanes = [HARSH_FAULTS, HARSH_FAULTS] if self._harsh else [CALM_FAULTS]
         await asyncio.gather(*(self._faults_in_turn(count) for count in lanes))
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self.world.check_primaries()
         self.world.check_claims()
         self.world.check_keys()
         self._budget.renew_when_whole()
 
     async def _final_change(self) -> None:
-        """After all trouble a change is possible, and it is read back."""
+        """Check that a change is acknowledged after all faults have ended."""
         world = self.world
         deadline = asyncio.get_running_loop().time() + 10.0
         while asyncio.get_running_loop().time() < deadline:
@@ -125,7 +125,7 @@
             base = 0 if version is None else version
             if await world.change(base, base + 10, 3.0):
                 return
-        raise Violation("no change was acknowledged after all trouble had ended")
+        raise Violation("no change was acknowledged after all faults had ended")
 
     async def _edges_follow(self) -> None:
         newest = self.world.history.newest_acknowledged()
@@ -139,7 +139,7 @@
         for _ in range(count):
             if self.world.violations:
                 return
-            await asyncio.sleep(self.draw.uniform(0.0, LONGEST_PAUSE_S))
+            await asyncio.sleep(self.draw.uniform(0.0, MAX_PAUSE_S))
             await self._one_fault()
 
     def _start(self) -> None:
@@ -152,43 +152,43 @@
     async def _one_fault(self) -> None:
         name = self.draw.choice(list(self._faults.kinds))
         self.world.trace.add("FAULT", name)
-        self._under_way += 1
+        self._active_faults += 1
         if await self._faults.kinds[name]():
             self.outcome.faults[name] += 1
-        self._under_way -= 1
+        self._active_faults -= 1
         self._last_fault_s = asyncio.get_running_loop().time()
         self.world.trace.add("FAULT", f"{name} ends")
         if self._harsh:
-            await asyncio.sleep(self.draw.uniform(0.0, LONGEST_PAUSE_S))
+            await asyncio.sleep(self.draw.uniform(0.0, MAX_PAUSE_S))
         else:
             await self._recover()
 
     async def _recover(self) -> None:
-        """Wait until the group is whole and enough disks know it, but no longer than the platform does."""
+        """Wait until the group is complete and confirmed on enough disks, for at most CATCH_UP_S."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + CATCH_UP_S
         while loop.time() < deadline:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if self.world.is_secured():
                 return
 
     # Callers
 
     async def _pause(self, pause_s: float) -> None:
-        """Wait between calls, for longer where no fault is under way or has just ended."""
+        """Wait between calls, for longer if no fault is active or has just ended."""
         quiet_s = asyncio.get_running_loop().time() - self._last_fault_s
-        is_quiet = self._under_way == 0 and quiet_s > QUIET_AFTER_S
+        is_quiet = self._active_faults == 0 and quiet_s > QUIET_AFTER_S
         await asyncio.sleep(pause_s * QUIET_PAUSE_FACTOR if is_quiet else pause_s)
 
     async def _operate(self) -> None:
-        """One of two operators: both build on what they read, often under the same number."""
+        """One of two operators: both base changes on the version that they read, often on the same one."""
         world = self.world
         while True:
             base = world.history.newest_acknowledged()
             known = await world.read()
             base = max(base, known or 0)
             await world.change(base, base + self.draw.randint(1, 3), CHANGE_S)
-            longest_s = STORM_PAUSE_S if self._faults.storming else OPERATOR_PAUSE_S
+            longest_s = STORM_PAUSE_S if self._faults.is_bursting else OPERATOR_PAUSE_S
             await self._pause(self.draw.uniform(0.0, longest_s))
 
     async def _read(self) -> None:
@@ -211,12 +211,12 @@
     world_type: type[World] = World,
     schedule_type: type[Schedule] = Schedule,
 ) -> Outcome:
-    """Play one schedule in virtual time."""
+    """Run one schedule in virtual time."""
 
     async def story() -> Outcome:
         return await schedule_type(seed, machines, losses, world_type).run()
 
-    # Each member works the same document out from the same patch: once is enough for all of them.
-    with patch.object(state, "patched_document", functools.lru_cache(REMEMBERED_DOCUMENTS)(patched_document)):
+    # Every member computes the same document from the same patch, so the results are cached.
+    with patch.object(state, "patched_document", functools.lru_cache(CACHED_DOCUMENTS)(patched_document)):
         outcome: Outcome = run_world(story())
     return outcome
--- a/tests/system/control_simulation/world.py
+++ b/tests/system/control_simulation/world.py
@@ -1,4 +1,4 @@
-"""A whole core in simulation: machines, operators that send again until the answer is clear, and checks."""
+"""A simulated control plane: nodes, operators that retry until an answer is definite, and checks."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from tests.system.virtual_time import Repeating
 
 OPERATOR = "operator:1"
-WATCH_INTERVAL_S = 0.03  # between looks at what no two machines may do at a time
-CALL_S = 1.0  # after which a caller goes to another node
+WATCH_INTERVAL_S = 0.03  # interval of the checks for two primaries and for stale claims
+CALL_S = 1.0  # timeout of a call, after which the caller tries another node
 CLEAR_REFUSALS = {400, 412}
 
 
 class World:
-    """The core machines of one schedule."""
+    """The control nodes of one schedule, with their network and history."""
 
     machine_type: type[Machine] = Machine
 
@@ -38,16 +38,16 @@
         self.sync_s = sync_s
         self.violations: list[str] = []
         self.fail_overs: list[float] = []
-        self.edges: list[Any] = []  # simulated edges, which this module can't name
+        self.edges: list[Any] = []  # `SimulatedEdge`, whose module imports this one
         self.compact_bytes = COMPACT_BYTES
         self._changes = 0
-        self._acted_token = 0  # the last under which a holder acted
+        self._acted_token = 0  # token of the last act
         names = [f"core{number}" for number in range(1, machines + 1)]
         self.seeds = tuple(f"{name}:1" for name in names[:3])
         self.machines = {name: self.new_machine(name) for name in names}
 
     def new_machine(self, name: str) -> Machine:
-        """A machine with an empty disk that is not started."""
+        """Create a node with an empty disk, not started."""
         rate = 1.0 + self.draw.uniform(-0.01, 0.01)
         machine = self.machine_type(
             name, self.network, self.seeds, self.losses, self.trace, self.sync_s, rate
@@ -58,20 +58,20 @@
         return machine
 
     def add_machine(self, name: str) -> Machine:
-        """A machine that comes later, with an empty disk."""
+        """Add a node with an empty disk after the first start of the system."""
         machine = self.machines[name] = self.new_machine(name)
         machine.first_start = False
         machine.compact_bytes = self.compact_bytes
         return machine
 
     def _watch(self, name: str, replica: Replica) -> None:
-        seen = ControlState()
+        last_seen = ControlState()
 
         def look() -> None:
-            nonlocal seen
-            if replica.committed is not seen:
-                before, seen = seen, replica.committed
-                self.check(lambda: self.history.publish(before, seen, name))
+            nonlocal last_seen
+            if replica.committed is not last_seen:
+                before, last_seen = last_seen, replica.committed
+                self.check(lambda: self.history.publish(before, last_seen, name))
 
         replica.add_listener(look)
 
@@ -83,10 +83,10 @@
             self.on_confirmed()
 
     def on_confirmed(self) -> None:
-        """Called at the moment at which a change or a departure is acknowledged, or a new token is used."""
+        """Called when a change or a departure is acknowledged, or a new token is used for the first time."""
 
     def check(self, work: Callable[[], Any]) -> Any:
-        """Run a check; a violation is noted rather than lost in some task."""
+        """Run a check; a violation is recorded instead of being lost in a task."""
         try:
             return work()
         except Violation as violation:
@@ -94,28 +94,28 @@
             self.violations.append(str(violation))
             return None
 
-    # What callers do
+    # Calls
 
     async def call(self, machine: Machine, request: Any) -> Any:
-        """One call from outside; None if there was no answer."""
+        """Make one call by an operator or a worker; None if there was no answer."""
         answer = await self.network.call(OPERATOR, machine.address, request, CALL_S)
         return answer.ok()
 
     def any_machine(self) -> Machine:
-        """A machine as a caller picks it: it may be down."""
+        """A random node, which may be down."""
         return self.draw.choice(list(self.machines.values()))
 
     async def change(
-        self, base: int, version: int, patience_s: float, avoiding: Machine | None = None
+        self, base: int, version: int, timeout_s: float, avoiding: Machine | None = None
     ) -> int | None:
-        """Send one change to one machine after the other until there is a clear answer.
+        """Send one change to one node after the other until there is a definite answer.
 
-        The answer is its version if it was acknowledged.
+        Returns its version if it was acknowledged, else None.
         """
         self._changes += 1
         marker = f"m{self._changes}"
         request = OperatorChange("PUT", str(base), document(version, marker))
-        deadline = asyncio.get_running_loop().time() + patience_s
+        deadline = asyncio.get_running_loop().time() + timeout_s
         order: list[Machine] = []
         while asyncio.get_running_loop().time() < deadline:
             if not order:
@@ -136,7 +136,7 @@
         return None
 
     async def read(self, machine: Machine | None = None) -> int | None:
-        """Read the configuration once, at any machine or at this one; its version."""
+        """Read the configuration once, at `machine` or a random node; returns its version or None."""
         newest_before = self.history.newest_acknowledged()
         answer = await self.call(machine or self.any_machine(), OperatorRead())
         if isinstance(answer, SubmitResult) and answer.status == 200:
@@ -144,7 +144,7 @@
         return None
 
     async def depart(self, instance: str, machine: Machine | None = None) -> bool:
-        """A worker says that it drains, to any machine or to this one."""
+        """Announce that a worker is draining, to `machine` or a random node; whether it was acknowledged."""
         if await self.call(machine or self.any_machine(), WorkerDeparts(instance)):
             self.history.departures.add(instance)
             self.trace.add("worker", "departure acknowledged", instance=instance)
@@ -152,22 +152,22 @@
             return True
         return False
 
-    # What the world waits for
+    # Conditions, checks and waits
 
     def start_all(self) -> None:
-        """Start every machine."""
+        """Start every node."""
         for machine in self.machines.values():
             machine.start()
 
     def primary(self) -> Machine | None:
-        """The machine that is the active primary, if there is one."""
+        """The running node that is the active primary, or None."""
         for machine in self.machines.values():
             if machine.running() and machine.replica is not None and machine.replica.is_primary():
                 return machine
         return None
 
     def is_whole(self) -> bool:
-        """Whether every machine is in the primary's group, so that one more disk may be lost."""
+        """Whether every node is in the primary's group."""
         primary = self.primary()
         if primary is None or primary.replica is None or primary.replica.term is None:
             return False
@@ -175,7 +175,7 @@
         return len(record.group) == len(record.witnesses) == len(self.machines)
 
     def is_secured(self) -> bool:
-        """Whether the group holds every disk that there is, and enough of them know that it is chosen."""
+        """Whether the group has every node, and its record is known to be chosen on enough disks."""
         primary = self.primary()
         if primary is None or primary.replica is None or primary.replica.term is None:
             return False
@@ -185,11 +185,11 @@
         return whole and set(term.record.witness_ids()) == disks and term.is_secured()
 
     def watch_claims(self) -> Repeating:
-        """From now on, no running machine that claims to be current shows an old configuration."""
+        """Check from now on that no node that claims to be current shows an old configuration."""
         return Repeating(WATCH_INTERVAL_S, self.check_claims)
 
     def check_claims(self) -> None:
-        """No running machine that claims to be current shows an old configuration at this moment."""
+        """Check that no running node that claims to be current shows an old configuration now."""
         for machine in self.machines.values():
             self.check(lambda it=machine: self._check_claim(it))  # type: ignore[misc]
 
@@ -199,16 +199,16 @@
             self.history.show(asyncio.get_running_loop().time(), version, machine.name)
 
     def check_keys(self) -> None:
-        """No running edge serves a key at this moment that was taken away long ago."""
+        """Check that no running edge serves a key that was revoked longer than REVOKE_S ago."""
         for edge in self.edges:
             edge.check_keys()
 
     def watch_primaries(self) -> Repeating:
-        """From now on, at no moment are two running machines active primaries."""
+        """Check from now on that no two running nodes are active primaries at the same time."""
         return Repeating(WATCH_INTERVAL_S, self.check_primaries)
 
     def check_primaries(self) -> None:
-        """No two running machines are active primaries at this moment."""
+        """Check that no two running nodes are active primaries now."""
         active = [
             machine.name
             for machine in self.machines.values()
@@ -218,24 +218,24 @@
             self.trace.add("CHECK", "two primaries", active=active)
             self.violations.append(f"two active primaries: {active}")
 
-    async def until(self, condition: Callable[[], bool], patience_s: float, what: str) -> float:
-        """How long it took until the condition held."""
+    async def until(self, condition: Callable[[], bool], timeout_s: float, what: str) -> float:
+        """Wait for a condition; returns the seconds it took, or raises Violation after the timeout."""
         started = asyncio.get_running_loop().time()
         while not condition():
-            if asyncio.get_running_loop().time() - started > patience_s:
-                raise Violation(f"not within {patience_s} s: {what}")
+            if asyncio.get_running_loop().time() - started > timeout_s:
+                raise Violation(f"not within {timeout_s} s: {what}")
             await asyncio.sleep(0.01)
         return asyncio.get_running_loop().time() - started
 
-    async def until_primary(self, patience_s: float = 5.0) -> Machine:
-        """The primary, once there is one."""
-        await self.until(lambda: self.primary() is not None, patience_s, "a primary")
+    async def until_primary(self, timeout_s: float = 5.0) -> Machine:
+        """Wait for a primary and return it."""
+        await self.until(lambda: self.primary() is not None, timeout_s, "a primary")
         primary = self.primary()
         assert primary is not None
         return primary
 
-    async def settle(self, patience_s: float = 15.0) -> None:
-        """Undo all trouble; within the time, all that was acknowledged must be there."""
+    async def settle(self, timeout_s: float = 15.0) -> None:
+        """End all faults, wait for a primary, and check that nothing acknowledged is lost."""
         self.network.heal()
         self.network.loss = self.network.slow_share = self.network.reset_share = 0.0
         self.network.answer_loss.clear()
@@ -246,7 +246,7 @@
             if machine.life is not None and machine.life.frozen:
                 machine.thaw()
             machine.start()
-        primary = await self.until_primary(patience_s)
+        primary = await self.until_primary(timeout_s)
         assert primary.replica is not None
         state = primary.replica.committed
         self.check(lambda: self.history.check_end(state))
@@ -258,9 +258,9 @@
 
 
 def run_world(story: Coroutine[Any, Any, Any]) -> Any:
-    """Run a story on a loop of lives, in virtual time."""
+    """Run a coroutine in virtual time on a `LivesLoop`."""
     loop = LivesLoop()
-    loop.set_exception_handler(lambda _loop, _context: None)  # tasks of killed lives are dropped unfinished
+    loop.set_exception_handler(lambda _loop, _context: None)  # tasks of killed runs are dropped unfinished
     asyncio.set_event_loop(loop)
     try:
         return loop.run_until_complete(story)
--- a/tests/system/test_control_confirmation.py
+++ b/tests/system/test_control_confirmation.py
@@ -1,4 +1,4 @@
-"""That a record is chosen is durable soon: later epochs need not ask voters who are gone."""
+"""A member soon persists that a record is chosen, so later epochs need no votes of removed members."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from tests.system.control_simulation.world import World, run_world
 
 ROLES_GRANTED_S = 1.5
-LEFT_OUT_AND_FLUSHED_S = 3.0
+EXCLUDED_AND_FLUSHED_S = 3.0
 
 
 def _backup_without_role(world: World, primary: Machine) -> Machine:
-    """A member of the group whose end causes a change of epoch and no further entry."""
+    """A backup whose failure causes a change of epoch but no log entry."""
     assert primary.replica is not None
     holders = {tenure.member for tenure in primary.replica.committed.roles.values()}
     return next(
@@ -25,24 +25,24 @@
 
 
 async def _all_lose_power_after_an_epoch_without_entries() -> None:
-    # Given a group of five that has left a backup out and has nothing else to store
+    # Given a group of five that has excluded a backup and has no further entries to store
     world = World(21, 5, 2)
     world.start_all()
     await world.until(world.is_whole, 9.0, "a whole group")
     await asyncio.sleep(ROLES_GRANTED_S)
     primary = await world.until_primary()
-    gone = _backup_without_role(world, primary)
+    excluded = _backup_without_role(world, primary)
     assert primary.replica is not None
     epoch = primary.replica.epoch
-    gone.kill()
-    await asyncio.sleep(LEFT_OUT_AND_FLUSHED_S)
+    excluded.kill()
+    await asyncio.sleep(EXCLUDED_AND_FLUSHED_S)
     assert primary.replica.epoch > epoch
-    # When every machine loses its power
+    # When every node loses power
     for machine in world.machines.values():
         machine.lose_power()
-    # Then each of the others finds on its disk that the record is chosen
+    # Then each of the others has stored that the record is chosen
     for machine in world.machines.values():
-        if machine is not gone:
+        if machine is not excluded:
             assert image_of(SegmentedLog(machine.folder).recover()).confirmed, machine.name
 
 
--- a/tests/system/test_control_found_anew.py
+++ b/tests/system/test_control_found_anew.py
@@ -1,4 +1,4 @@
-"""The way back after too many lost disks: a group founded anew from one exported state."""
+"""Disaster recovery after the loss of a quorum of disks: a new group from one exported state."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 async def _two_of_three_disks_lost() -> None:
-    # Given a group of three, two of whose disks are lost: more than it can bear
+    # Given a group of three that has lost two disks, more than it tolerates
     world = World(51)
     world.start_all()
     assert await world.change(0, 1, 9.0) == 1
@@ -46,7 +46,7 @@
         machine.wipe()
         machine.start()
     assert await world.change(2, 3, 6.0) is None
-    # When the state of the one that is left founds a group on another machine's empty disk
+    # When the survivor's state is used to bootstrap a group on another node's empty disk
     exported = read_export(export_state("m", image_of(read_log(survivor.folder))), "export").unwrap()
     founder = lost[0]
     founder.kill()
@@ -54,10 +54,10 @@
     info = MemberInfo("founder", founder.name, founder.address, founder.address, "zone")
     assert found_anew(founder.folder, exported, info).is_ok()
     founder.start()
-    # Then it leads, the other wiped one joins it, and so does the survivor, whose own group is no more
+    # Then that node becomes primary, and the other wiped node and the survivor join its group
     await world.until(world.is_whole, 15.0, "everyone in the new group")
     assert founder.replica is not None and founder.replica.epoch > epoch + RECOVERY_OFFSET - 1
-    # And what was acknowledged is there, and changes go on
+    # And acknowledged changes are kept, and new changes are accepted
     state = founder.replica.committed
     assert state.configuration is not None and describe(state.configuration)[0] >= 2
     assert "i-1" in state.departures
@@ -65,7 +65,7 @@
     world.require_sound()
 
 
-def test_given_too_many_lost_disks_then_a_group_is_founded_anew_and_everyone_joins_it() -> None:
+def test_given_too_many_lost_disks_then_a_new_group_is_bootstrapped_and_everyone_joins_it() -> None:
     run_world(_two_of_three_disks_lost())
 
 
@@ -77,14 +77,14 @@
     return MemberImage(promised=4, promised_to="m1", state=state)
 
 
-def _founded() -> MemberImage:
+def _bootstrapped() -> MemberImage:
     folder = SimulatedFolder()
     exported = read_export(export_state("m1", _image()), "f").unwrap()
     return found_anew(folder, exported, MemberInfo("m9", "n", "a:1", "a:2", "z")).unwrap()
 
 
-def test_epochs_positions_and_tokens_lie_beyond_all_that_the_lost_group_used() -> None:
-    image = _founded()
+def test_epochs_positions_and_tokens_are_above_those_of_the_lost_group() -> None:
+    image = _bootstrapped()
     assert (
         image.promised >= 4 + RECOVERY_OFFSET
         and image.record is not None
@@ -92,25 +92,25 @@
     )
     assert image.state.sequence >= 3 + RECOVERY_OFFSET
     assert image.state.last_token >= 1 + RECOVERY_OFFSET
-    assert image.state.roles["placement/s"].token == 1  # passes on under a higher token
+    assert image.state.roles["placement/s"].token == 1  # the next grant gets a higher token
 
 
-def test_an_edge_that_is_ahead_of_the_export_takes_the_founded_state() -> None:
-    # Given an edge that has a later version than the export: it was acknowledged and is lost
+def test_an_edge_that_is_ahead_of_the_export_accepts_the_new_group_s_state() -> None:
+    # Given an edge with a later version than the export: acknowledged, but lost
     tables = FleetTables()
     later = ConfigurationStep(8, b"later", document(8, "eight"))
     ahead = apply_entry(_image().state, later)
     tables.take(PullResponse(True, None, {STATE_ORIGIN: ahead.sequence}, state_updates(ahead, 0)))
     assert tables.snapshot.configuration is not None and tables.snapshot.configuration.version == 8
     # When it pulls from the new group
-    state = _founded().state
+    state = _bootstrapped().state
     known = tables.vector[STATE_ORIGIN]
     tables.take(PullResponse(True, None, {STATE_ORIGIN: state.sequence}, state_updates(state, known)))
-    # Then it has what is in force there
+    # Then it has the version in force there
     assert tables.snapshot.configuration.version == 7
 
 
-def test_a_cut_or_changed_export_is_no_state() -> None:
+def test_a_truncated_or_corrupted_export_is_refused() -> None:
     data = export_state("m1", _image())
     assert isinstance(read_export(data[:-1], "f"), Err)
     changed = bytearray(data)
@@ -142,28 +142,28 @@
     return path
 
 
-def test_the_command_founds_only_with_its_flag_and_only_in_an_empty_folder(
+def test_the_command_bootstraps_only_with_its_flag_and_only_in_an_empty_folder(
     old_folder: Path, settings_file: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     export = str(tmp_path / "whole")
     assert arrowfold(["state", "export", str(old_folder), f"--whole={export}"]) == 0
     command = ["state", "found-anew", export, f"--settings={settings_file}"]
-    # Without the flag: it tells what it would found, and refuses
+    # Without the flag: it prints what it would do, and refuses
     assert arrowfold(command) == 2
     captured = capsys.readouterr()
     assert "configuration version 7" in captured.out and "--accept-loss" in captured.err
     assert not (tmp_path / "new").exists()
-    # With it: the folder is that of a member of a new group
+    # With the flag: the folder becomes that of a new group's first member
     assert arrowfold([*command, "--accept-loss"]) == 0
     image = image_of(read_log(OsFolder(tmp_path / "new")))
     assert image.state.configuration_version == 7 and image.confirmed
-    # And never over something
+    # And never in a folder that is not empty
     assert arrowfold([*command, "--accept-loss"]) == 2
     assert "not empty" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("content", [b"", b"rubbish"])
-def test_what_is_no_export_is_one_line(
+def test_an_invalid_export_file_is_reported_in_one_line(
     content: bytes, settings_file: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     bad = tmp_path / "bad"
@@ -172,14 +172,14 @@
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_a_half_written_folder_starts_as_an_empty_one() -> None:
-    # Given that the command ended before it wrote the identity
+def test_a_partially_written_folder_starts_as_an_empty_one() -> None:
+    # Given a command that ended before it wrote the identity
     folder = SimulatedFolder()
     log = SegmentedLog(folder)
     log.recover()
-    log.compact(encode(_founded()))
+    log.compact(encode(_bootstrapped()))
     log.close()
     # When the node starts
     opened = open_storage(folder, NewIdentity("m5", False, ()))
-    # Then nothing of it counts
+    # Then its content is set aside
     assert opened.damage is not None and opened.image == MemberImage()
--- a/tests/system/test_control_founding.py
+++ b/tests/system/test_control_founding.py
@@ -1,4 +1,4 @@
-"""Who forms the first group, and who never does."""
+"""The bootstrap of the first group: which nodes may form it, and which never do."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def _first_group_without_a_seed() -> None:
-    # Given three seeds of which one never comes
+    # Given three seeds of which one does not start
     world = World(seed=1)
     world.machines["core1"].start()
     world.machines["core3"].start()
@@ -17,14 +17,14 @@
     # Then they form one, and a change is acknowledged
     assert primary.replica is not None
     assert len(primary.replica.members()) == 2
-    assert await world.change(0, 4, patience_s=9.0) == 4
-    # And the late one is taken in
+    assert await world.change(0, 4, timeout_s=9.0) == 4
+    # And the late one joins
     world.machines["core2"].start()
     await world.until(world.is_whole, 3.0, "the late seed in the group")
     world.require_sound()
 
 
-def test_given_a_seed_that_comes_late_then_two_found_and_it_joins() -> None:
+def test_given_a_late_seed_then_two_bootstrap_the_group_and_it_joins() -> None:
     run_world(_first_group_without_a_seed())
 
 
@@ -42,14 +42,14 @@
 
 
 async def _empty_disks_later() -> None:
-    # Given machines with empty disks, none of which starts for the first time
+    # Given nodes with empty disks, none of which is on its first start
     world = World(seed=3)
     for machine in world.machines.values():
         machine.first_start = False
     # When all of them look for a group
     world.start_all()
     await asyncio.sleep(30.0)
-    # Then nobody founds one: there may be a state that they forgot
+    # Then none bootstraps one, since a state that they have lost may exist
     assert world.primary() is None
 
 
@@ -57,31 +57,31 @@
     run_world(_empty_disks_later())
 
 
-async def _founders_cut_in_two() -> None:
-    # Given seeds of which one is cut off from the others from the beginning
+async def _seeds_partitioned() -> None:
+    # Given seeds of which one is cut off from the others from the start
     world = World(seed=4)
     for other in ("core2:1", "core3:1"):
         world.network.cut("core1:1", other)
         world.network.cut(other, "core1:1")
     world.start_all()
-    # When the majority founds a group and the cut heals later
+    # When the majority bootstraps a group and the partition heals later
     primary = await world.until_primary(8.0)
     assert primary.name != "core1"
     assert await world.change(0, 1, 9.0) == 1
     world.network.heal()
-    # Then there is one group, which takes the third in
+    # Then there is one group, which the third joins
     await world.until(world.is_whole, 4.0, "the third machine in the group")
     assert len({machine.replica.epoch for machine in world.machines.values() if machine.replica}) == 1
     await world.settle()
     world.require_sound()
 
 
-def test_given_a_founder_cut_off_then_it_joins_the_only_group() -> None:
-    run_world(_founders_cut_in_two())
+def test_given_a_seed_cut_off_then_it_joins_the_only_group() -> None:
+    run_world(_seeds_partitioned())
 
 
-async def _founding_interrupted() -> None:
-    # Given founders with identities that lose power before the first group is there, at each of many moments
+async def _bootstrap_interrupted() -> None:
+    # Given seeds with identities that lose power at one of many moments before the first group exists
     for moment in range(40):
         world = World(seed=100 + moment)
         world.start_all()
@@ -93,7 +93,7 @@
         await asyncio.sleep(moment * 0.001)
         for machine in world.machines.values():
             machine.lose_power()
-        # When they come back on disks that are no longer empty
+        # When they restart on disks that are no longer empty
         world.start_all()
         await world.until_primary(8.0)
         # Then the group forms, and a change is acknowledged
@@ -103,12 +103,12 @@
             machine.kill()
 
 
-def test_given_power_lost_during_the_founding_then_the_group_forms_after_it() -> None:
-    run_world(_founding_interrupted())
+def test_given_power_lost_during_the_bootstrap_then_the_group_forms_after_it() -> None:
+    run_world(_bootstrap_interrupted())
 
 
 async def _five_members_before_the_first_acknowledgement() -> None:
-    # Given five core machines, two losses to be borne, and three seeds
+    # Given five control nodes, two tolerated losses, and three seeds
     world = World(seed=5, machines=5, losses=2)
     for name in ("core1", "core2", "core3"):
         world.machines[name].start()
@@ -117,12 +117,12 @@
         3.0,
         "a first group of three",
     )
-    # When a change comes before the other two have joined
-    early = asyncio.create_task(world.change(0, 1, patience_s=20.0))
+    # When a change is sent before the other two have joined
+    early = asyncio.create_task(world.change(0, 1, timeout_s=20.0))
     await asyncio.sleep(2.0)
     # Then it is not acknowledged yet
     assert not early.done()
-    # And it is as soon as all five are there
+    # And it is acknowledged as soon as all five have joined
     world.machines["core4"].start()
     world.machines["core5"].start()
     assert await early == 1
@@ -131,15 +131,15 @@
     world.require_sound()
 
 
-def test_given_two_losses_to_bear_then_nothing_rests_on_three_members_where_five_exist() -> None:
+def test_given_two_tolerated_losses_then_nothing_is_acknowledged_by_three_of_five_members() -> None:
     run_world(_five_members_before_the_first_acknowledgement())
 
 
-async def _fewer_machines_than_wanted() -> None:
+async def _fewer_nodes_than_required() -> None:
     world = World(seed=6, machines=3, losses=2)
     world.start_all()
-    assert await world.change(0, 1, patience_s=10.0) == 1
+    assert await world.change(0, 1, timeout_s=10.0) == 1
 
 
-def test_given_fewer_machines_than_the_losses_ask_for_then_changes_are_taken_after_a_wait() -> None:
-    run_world(_fewer_machines_than_wanted())
+def test_given_fewer_nodes_than_required_then_changes_are_accepted_after_a_wait() -> None:
+    run_world(_fewer_nodes_than_required())
--- a/tests/system/test_control_guards.py
+++ b/tests/system/test_control_guards.py
@@ -1,4 +1,4 @@
-"""Conditions on which a promise rests and that no story reaches alone: each is asked for by itself."""
+"""Unit tests of safety conditions that no scenario test covers by itself."""
 
 from __future__ import annotations
 
@@ -54,14 +54,14 @@
 
 
 def _with_primary(act: Act) -> None:
-    """Run an act on a whole group of three and its primary."""
+    """Run `act` on a complete group of three and its primary."""
 
     async def story() -> None:
         world = World(71)
         world.start_all()
         assert await world.change(0, 1, 9.0) == 1
         await world.until(world.is_whole, 6.0, "a whole group")
-        await world.until(world.is_secured, 6.0, "a group that is known to be whole")
+        await world.until(world.is_secured, 6.0, "a confirmed group")
         await act(world, await world.until_primary())
 
     run_world(story())
@@ -82,10 +82,10 @@
     return next(machine for machine in world.machines.values() if machine is not primary)
 
 
-# What a witness grants
+# Grants of a witness
 
 
-def test_a_heartbeat_of_an_epoch_whose_record_is_not_on_the_disk_grants_nothing() -> None:
+def test_a_heartbeat_of_an_epoch_whose_record_is_not_stored_is_not_granted() -> None:
     async def act(world: World, primary: Machine) -> None:
         member = _replica(_backup(world, primary)).group_member
         info = _replica(primary).group_member.info
@@ -96,7 +96,7 @@
     _with_primary(act)
 
 
-def test_a_witness_with_its_disk_in_trouble_promises_nothing_even_on_trial() -> None:
+def test_a_witness_with_an_unhealthy_disk_refuses_promises_and_trials() -> None:
     async def act(world: World, primary: Machine) -> None:
         witness = _backup(world, primary)
         member = _replica(witness).group_member
@@ -114,7 +114,7 @@
     _with_primary(act)
 
 
-# What a primary may do
+# Conditions for a primary
 
 
 def test_a_primary_that_promised_an_epoch_to_another_is_not_active() -> None:
@@ -130,7 +130,7 @@
 
 def test_a_read_that_was_queued_before_a_freeze_is_not_answered_after_it() -> None:
     async def act(world: World, primary: Machine) -> None:
-        # Given a read that waits for its turn as the primary freezes
+        # Given a read that is queued when the primary freezes
         def decide(state: ControlState) -> Proposal[int]:
             return Proposal(state.configuration_version)
 
@@ -139,18 +139,18 @@
         reading = primary.loop.create_task(work, context=primary.life.context)
         await asyncio.sleep(0)
         primary.freeze()
-        # When a change is acknowledged by another before it thaws
+        # When another primary acknowledges a change before the first one thaws
         assert await world.change(1, 2, 9.0, avoiding=primary) == 2
         primary.thaw()
         await asyncio.sleep(0.001)
-        # Then the read tells nothing
+        # Then the read fails
         answer: Result[int, ReplicationFault] = await asyncio.wait_for(reading, 1.0)
         assert answer.is_err()
 
     _with_primary(act)
 
 
-def test_a_primary_with_its_disk_in_trouble_hands_over() -> None:
+def test_a_primary_with_an_unhealthy_disk_hands_over() -> None:
     async def act(world: World, primary: Machine) -> None:
         term = _term(primary)
         _replica(primary).group_member.durable.is_healthy = lambda timeout_s: False  # type: ignore[method-assign]
@@ -160,7 +160,7 @@
     _with_primary(act)
 
 
-def test_a_membership_with_too_few_copies_is_not_wanted() -> None:
+def test_a_membership_with_too_few_copies_is_not_targeted() -> None:
     async def act(world: World, primary: Machine) -> None:
         term = _term(primary)
         for witness in term.record.witness_ids():
@@ -171,7 +171,7 @@
 
 
 class _AcceptsLate:
-    """The `Caller` of a primary whose record is another by the time at which its call is answered."""
+    """The `Caller` of a primary whose record changes before its call is answered."""
 
     def __init__(self, term: PrimaryTerm) -> None:
         self._term = term
@@ -181,7 +181,7 @@
         return Ok(Verdict(True, self._term.record.epoch - 1))
 
 
-def test_the_acceptance_of_a_record_that_is_not_in_force_any_more_grants_nothing() -> None:
+def test_the_acceptance_of_a_superseded_record_grants_nothing() -> None:
     async def act(world: World, primary: Machine) -> None:
         term = _term(primary)
         witness = next(info for info in term.record.witnesses if info.member != _replica(primary).member)
@@ -195,20 +195,20 @@
 
 
 class _ComposesOnce:
-    """Stands in for the change of epoch: composes on what it is told, and fails."""
+    """A fake change of epoch: calls `compose` on given promises and fails."""
 
-    def __init__(self, found: Promises) -> None:
-        self._found = found
+    def __init__(self, promises: Promises) -> None:
+        self._promises = promises
         self.composed: Result[Composition, EpochFault] | None = None
 
     async def run(self, epoch: int, compose: Any, newcomers: Any = (), trial: bool = False) -> Any:
-        self.composed = compose(self._found)
+        self.composed = compose(self._promises)
         return Err(EpochFault("only composed"))
 
 
-def _composed(term: PrimaryTerm, found: Promises) -> Awaitable[Result[Composition, EpochFault]]:
+def _composed(term: PrimaryTerm, promises: Promises) -> Awaitable[Result[Composition, EpochFault]]:
     async def compose() -> Result[Composition, EpochFault]:
-        change = _ComposesOnce(found)
+        change = _ComposesOnce(promises)
         term._change = change  # type: ignore[assignment]
         await term._try_epochs(Membership(term.record.group, term.record.witnesses), False)
         assert change.composed is not None
@@ -217,7 +217,7 @@
     return compose()
 
 
-def test_a_change_of_members_follows_on_the_own_epoch_and_keeps_enough_copies() -> None:
+def test_a_membership_change_requires_the_own_epoch_and_enough_copies() -> None:
     async def act(world: World, primary: Machine) -> None:
         term, own = _term(primary), _replica(primary).member
         record = term.record
@@ -232,7 +232,7 @@
     _with_primary(act)
 
 
-# The release of a member that leaves
+# The release of a leaving member
 
 
 @pytest.mark.parametrize(
@@ -240,23 +240,23 @@
     [
         (False, 3, False, True),
         (True, 3, False, False),
-        (False, 4, False, False),  # it is to be out of the voters first
+        (False, 4, False, False),  # it has to be removed from the witnesses first
         (False, 3, True, False),
     ],
 )
-def test_a_leaver_is_released_once_it_is_needed_no_more(
+def test_a_leaving_member_is_released_once_it_is_not_needed(
     in_group: bool, voters: int, changing: bool, released: bool
 ) -> None:
     async def act(world: World, primary: Machine) -> None:
         term, own = _term(primary), _replica(primary).member
-        leaver = next(member for member in term.record.witness_ids() if member != own)
-        group = tuple(member for member in term.record.group if in_group or member != leaver)
+        leaving = next(member for member in term.record.witness_ids() if member != own)
+        group = tuple(member for member in term.record.group if in_group or member != leaving)
         extra = (_info("fourth"),) if voters == 4 else ()
         term.record = replace(term.record, group=group, witnesses=(*term.record.witnesses, *extra))
         term._consider_members = lambda: None  # type: ignore[method-assign]
         term.is_secured = lambda: True  # type: ignore[method-assign]
         term._is_changing, term._target_membership = changing, None
-        assert term.leave(leaver) == released
+        assert term.leave(leaving) == released
 
     _with_primary(act)
 
@@ -264,7 +264,7 @@
 # A new epoch
 
 
-def test_a_source_is_of_the_newest_group_and_stored_its_starting_state() -> None:
+def test_a_state_source_is_in_the_newest_group_and_stored_its_initial_state() -> None:
     a, b, c = (_info(name) for name in "abc")
     record = EpochRecord(5, "a", ("a", "b"), (a, b, c), (Quorum(("a", "b", "c")),))
     promises = {
@@ -275,7 +275,7 @@
     assert _state_sources(Promises(record, record.quorums, promises)) == [promises["a"]]
 
 
-def test_a_record_takes_the_majorities_of_all_its_sets_until_it_is_known_to_be_chosen() -> None:
+def test_superseding_a_record_takes_majorities_of_all_its_quorums_until_it_is_confirmed() -> None:
     async def act(world: World, primary: Machine) -> None:
         own = _replica(primary).group_member.info
         b, c, d, e = (_info(name) for name in "bcde")
@@ -296,32 +296,30 @@
 
 
 class _StoredBy(EpochChange):
-    """A change of epoch whose starting state was stored by these, and whose record everyone accepts."""
+    """A change of epoch whose initial state is stored by `stored`, and whose record all members accept."""
 
     stored: set[str]
 
     async def _install(self, *_: Any) -> set[str]:
         return self.stored
 
-    async def _accept(self, record: EpochRecord, found: Promises) -> Result[EpochRecord, EpochFault]:
+    async def _accept(self, record: EpochRecord, promises: Promises) -> Result[EpochRecord, EpochFault]:
         return Ok(record)
 
 
-@pytest.mark.parametrize(
-    ("stored", "comes_about"), [("own other", True), ("own", False), ("other third", False)]
-)
-def test_an_epoch_begins_once_enough_disks_have_its_state_the_candidates_own_among_them(
-    stored: str, comes_about: bool
+@pytest.mark.parametrize(("stored", "starts"), [("own other", True), ("own", False), ("other third", False)])
+def test_an_epoch_starts_only_if_enough_disks_and_the_candidates_own_stored_its_state(
+    stored: str, starts: bool
 ) -> None:
     async def act(world: World, primary: Machine) -> None:
         replica = _replica(primary)
         infos = {"own": replica.group_member.info, "other": _info("other"), "third": _info("third")}
-        change = _StoredBy(replica.group_member, replica._caller, (), replica._leavers)
+        change = _StoredBy(replica.group_member, replica._caller, (), replica._leaving_members)
         change.stored = {infos[name].member for name in stored.split()}
         members = tuple(info.member for info in infos.values())
         promises = {info.member: _promise(info, None) for info in infos.values()}
         found = Promises(None, (Quorum(members),), promises)
-        begun = await change._establish(9, found, Composition(members, tuple(infos.values()), 2))
-        assert begun.is_ok() == comes_about
+        established = await change._establish(9, found, Composition(members, tuple(infos.values()), 2))
+        assert established.is_ok() == starts
 
     _with_primary(act)
--- a/tests/system/test_control_hand_over.py
+++ b/tests/system/test_control_hand_over.py
@@ -1,4 +1,4 @@
-"""How soon a new holder of a role acts after the old one has failed, and that turns stay fenced."""
+"""The handover of a role after its holder has failed: its duration, and its fencing."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from tests.system.control_simulation.world import World, run_world
 
 ARRIVAL_S = 0.25
-SOON_S = 2.0  # detection, the end of the old authority, the grant, and the way of the last order
+SOON_S = 2.0  # detection, expiry of the old authority, the grant, and transit of the last order
 FAILURE_S = 4.0
 
 
 @pytest.mark.parametrize(
     ("lease_ms", "contact_ms", "fencing_checked", "expected_s"),
     [
-        (3000, 3000, False, 3.25),  # nothing refuses a late order of the old holder
+        (3000, 3000, False, 3.25),  # no worker rejects a late order of the old holder
         (3000, 3000, True, 0.25),
         (3000, 4000, True, 0.25),
-        (5000, 3000, True, 2.25),  # the core is in touch again before the lease has passed
+        (5000, 3000, True, 2.25),  # the control plane is in contact again before the lease has expired
     ],
 )
 def test_given_the_bounds_then_a_new_holder_waits(
@@ -32,9 +32,11 @@
 
 
 async def _holder_fails(kind: str) -> None:
-    # Given workers that check fences, and a holder that acts
+    # Given workers that check fencing tokens, and a holder that acts
     world = World(7, 3, 1)
-    world.history.turns_s = 0.0  # no turn counts while the core is not stable, and tokens are always checked
+    world.history.min_takeover_s = (
+        0.0  # no minimum time while the control plane is unstable; tokens are always checked
+    )
     for machine in world.machines.values():
         machine.hand_over_s = hand_over_wait_s(Bounds(fencingChecked=True), ARRIVAL_S)
     world.start_all()
@@ -48,7 +50,7 @@
     await asyncio.sleep(SOON_S)
     # Then another acts soon
     assert world.history.last_act[1] != holder
-    # And the old one, when it is back, never acts under its old token
+    # And after its return the old one never acts under its old token
     await asyncio.sleep(FAILURE_S - SOON_S)
     await world.settle()
     await asyncio.sleep(1.0)
@@ -56,5 +58,5 @@
 
 
 @pytest.mark.parametrize("kind", ["freeze", "power"])
-def test_given_fences_that_are_checked_and_a_failed_holder_then_another_acts_soon(kind: str) -> None:
+def test_given_checked_fencing_tokens_and_a_failed_holder_then_another_acts_soon(kind: str) -> None:
     run_world(_holder_fails(kind))
--- a/tests/system/test_control_leaving.py
+++ b/tests/system/test_control_leaving.py
@@ -1,4 +1,4 @@
-"""A member that is told to end leaves by agreement: a loss beside it, or right after it, is borne."""
+"""A stopping member is released by the group; a loss at the same time or right after it is tolerated."""
 
 from __future__ import annotations
 
@@ -11,98 +11,100 @@
 from tests.system.control_simulation.machines import Machine
 from tests.system.control_simulation.world import World, run_world
 
-MOMENTS_S = (0.0, 0.2, 0.5, 0.8, 1.2, 1.6, 2.0, 3.0)  # from the order to end until the loss
-LINGER_S = 0.3  # for which processes may go on after they left
-PATIENCE_S = 12.0
+MOMENTS_S = (0.0, 0.2, 0.5, 0.8, 1.2, 1.6, 2.0, 3.0)  # time from the request to stop until the loss
+LINGER_S = 0.3  # time for which a process may run on after it has left
+CHANGE_TIMEOUT_S = 12.0
 GRACE_S = 8.0
 SIZES = {"3 / 1": (3, 1), "5 / 2": (5, 2)}
 
 
-async def _core_with_a_newcomer(machines: int, losses: int) -> World:
-    """A whole core that has one machine more than the losses ask for: a replacement that came first."""
+async def _group_with_an_extra_member(machines: int, losses: int) -> World:
+    """A complete group with one member more than required, as before a planned replacement."""
     world = World(31, machines, losses)
     world.start_all()
     assert await world.change(0, 1, 9.0) == 1
     await world.until(world.is_whole, 6.0, "a whole group")
     newcomer = world.add_machine(f"core{machines + 1}")
     newcomer.start()
-    await world.until(world.is_whole, 6.0, "the newcomer in the group")
+    await world.until(world.is_whole, 6.0, "the new member in the group")
     assert await world.change(1, 2, 9.0) == 2
     return world
 
 
 def _roles(
-    world: World, primary: Machine, leaver_leads: bool, victim_leads: bool
+    world: World, primary: Machine, leaving_is_primary: bool, victim_is_primary: bool
 ) -> tuple[Machine, list[Machine]]:
-    """Who leaves and who is lost; with `losses` of two, two are lost together."""
+    """The leaving member and the lost ones; with two tolerated losses, two are lost together."""
     backups = [machine for machine in world.machines.values() if machine is not primary]
-    leaver = primary if leaver_leads else backups.pop(0)
-    victims = [primary] if victim_leads and not leaver_leads else []
+    leaving = primary if leaving_is_primary else backups.pop(0)
+    victims = [primary] if victim_is_primary and not leaving_is_primary else []
     victims += backups[: world.losses - len(victims)]
-    return leaver, victims
+    return leaving, victims
 
 
-async def _loss_beside_departure(
-    size: str, leaver_leads: bool, victim_leads: bool, moment_s: float, lingers_s: float
+async def _loss_during_departure(
+    size: str, leaving_is_primary: bool, victim_is_primary: bool, moment_s: float, lingers_s: float
 ) -> None:
-    world = await _core_with_a_newcomer(*SIZES[size])
-    leaver, victims = _roles(world, await world.until_primary(), leaver_leads, victim_leads)
-    # When a member is told to end, and others lose their disks a moment later
+    world = await _group_with_an_extra_member(*SIZES[size])
+    leaving, victims = _roles(world, await world.until_primary(), leaving_is_primary, victim_is_primary)
+    # When a member is stopped, and others lose their disks a moment later
     started = asyncio.get_running_loop().time()
-    ended = leaver.terminate(lingers_s)
+    ended = leaving.terminate(lingers_s)
     await asyncio.sleep(moment_s)
     for victim in victims:
         victim.wipe()
         victim.start()
-    # Then a change is acknowledged, nothing is lost, and the member ends within its grace time
-    assert await world.change(2, 3, PATIENCE_S, avoiding=leaver) == 3
+    # Then a change is acknowledged, nothing is lost, and the member ends within its grace period
+    assert await world.change(2, 3, CHANGE_TIMEOUT_S, avoiding=leaving) == 3
     await ended
     assert asyncio.get_running_loop().time() - started < GRACE_S
-    world.machines.pop(leaver.name, None)
-    await world.until(world.is_whole, 8.0, "those that lost their disks in the group again")
-    assert await world.change(3, 4, PATIENCE_S) == 4
+    world.machines.pop(leaving.name, None)
+    await world.until(world.is_whole, 8.0, "the nodes with lost disks in the group again")
+    assert await world.change(3, 4, CHANGE_TIMEOUT_S) == 4
     world.require_sound()
 
 
 @pytest.mark.parametrize("lingers_s", [0.0, LINGER_S])
-@pytest.mark.parametrize("victim_leads", [False, True])
-@pytest.mark.parametrize("leaver_leads", [False, True])
+@pytest.mark.parametrize("victim_is_primary", [False, True])
+@pytest.mark.parametrize("leaving_is_primary", [False, True])
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("moment_s", MOMENTS_S)
-def test_given_a_loss_beside_a_planned_departure_then_changes_go_on(
-    size: str, leaver_leads: bool, victim_leads: bool, moment_s: float, lingers_s: float
+def test_given_a_loss_during_a_planned_departure_then_changes_go_on(
+    size: str, leaving_is_primary: bool, victim_is_primary: bool, moment_s: float, lingers_s: float
 ) -> None:
-    run_world(_loss_beside_departure(size, leaver_leads, victim_leads, moment_s, lingers_s))
+    run_world(_loss_during_departure(size, leaving_is_primary, victim_is_primary, moment_s, lingers_s))
 
 
-async def _released(leaver_leads: bool) -> None:
-    world = await _core_with_a_newcomer(3, 1)
+async def _released(leaving_is_primary: bool) -> None:
+    world = await _group_with_an_extra_member(3, 1)
     primary = await world.until_primary()
-    leaver = primary if leaver_leads else next(m for m in world.machines.values() if m is not primary)
-    assert leaver.replica is not None
-    identity = leaver.replica.member
-    # When a member is told to end, and the moment comes at which the others let it go
-    ended = leaver.terminate()
-    await world.until(lambda: leaver.released, GRACE_S, "the release")
-    # Then the record without it is chosen, and enough synced disks know that
+    leaving = primary if leaving_is_primary else next(m for m in world.machines.values() if m is not primary)
+    assert leaving.replica is not None
+    identity = leaving.replica.member
+    # When a member is stopped and released by the group
+    ended = leaving.terminate()
+    await world.until(lambda: leaving.released, GRACE_S, "the release")
+    # Then the record without it is chosen, and enough disks have stored that
     leader = await world.until_primary()
     assert leader.replica is not None and leader.replica.term is not None
     record = leader.replica.term.record
     assert identity not in record.witness_ids() and len(record.witnesses) == 3
-    knowing = [
+    confirmed = [
         machine
         for machine in world.machines.values()
-        if machine is not leaver
+        if machine is not leaving
         and machine.replica is not None
         and machine.replica.group_member.durable.confirmed_epoch >= record.epoch
     ]
-    assert len(knowing) >= 2
+    assert len(confirmed) >= 2
     await ended
 
 
-@pytest.mark.parametrize("leaver_leads", [False, True])
-def test_given_a_release_then_enough_disks_know_the_record_without_the_member(leaver_leads: bool) -> None:
-    run_world(_released(leaver_leads))
+@pytest.mark.parametrize("leaving_is_primary", [False, True])
+def test_given_a_release_then_enough_disks_know_the_record_without_the_member(
+    leaving_is_primary: bool,
+) -> None:
+    run_world(_released(leaving_is_primary))
 
 
 async def _restart_of_one_of_three() -> None:
@@ -111,16 +113,16 @@
     assert await world.change(0, 1, 9.0) == 1
     await world.until(world.is_whole, 6.0, "a whole group")
     primary = await world.until_primary()
-    leaver = next(machine for machine in world.machines.values() if machine is not primary)
-    # When one of just as many members as the losses ask for is restarted
-    await leaver.terminate()
-    # Then it stays a voter, and writes do not wait for it
-    assert leaver.released
+    leaving = next(machine for machine in world.machines.values() if machine is not primary)
+    # When one of exactly as many members as required is restarted
+    await leaving.terminate()
+    # Then it remains a witness, and writes do not wait for it
+    assert leaving.released
     assert primary.replica is not None and primary.replica.term is not None
     record = primary.replica.term.record
     assert len(record.witnesses) == 3 and len(record.group) == 2
-    assert await world.change(1, 2, 1.0, avoiding=leaver) == 2
-    leaver.start()
+    assert await world.change(1, 2, 1.0, avoiding=leaving) == 2
+    leaving.start()
     await world.until(world.is_whole, 6.0, "everyone in the group again")
     world.require_sound()
 
@@ -136,10 +138,10 @@
     await world.until(world.is_whole, 6.0, "a whole group")
     primary = await world.until_primary()
     first, second = (machine for machine in world.machines.values() if machine is not primary)
-    # When two of three are told to end at the same time
+    # When two of three are stopped at the same time
     ended = [first.terminate(), second.terminate()]
     await asyncio.sleep(1.0)
-    # Then one is let go at a time: two copies remain
+    # Then they are released one at a time, so that two copies remain
     assert sorted((first.released, second.released)) == [False, True]
     assert await world.change(1, 2, 2.0, avoiding=first if first.released else second) == 2
     (first if first.released else second).start()
@@ -148,7 +150,7 @@
     world.require_sound()
 
 
-def test_given_two_that_are_told_to_end_at_once_then_they_go_one_after_the_other() -> None:
+def test_given_two_stopped_at_once_then_they_are_released_one_after_the_other() -> None:
     run_world(_two_restarts_at_once())
 
 
@@ -157,10 +159,10 @@
     world.start_all()
     assert await world.change(0, 1, 9.0) == 1
     await world.until(world.is_whole, 6.0, "a whole group")
-    # When the whole core is stopped
+    # When the whole control plane is stopped
     started = asyncio.get_running_loop().time()
     await asyncio.gather(*[machine.terminate() for machine in world.machines.values()])
-    # Then nobody waits for somebody to agree
+    # Then no member waits for a release
     assert asyncio.get_running_loop().time() - started < 2.0
     world.start_all()
     await world.until_primary(6.0)
@@ -173,60 +175,62 @@
     run_world(_everyone_ends())
 
 
-async def _leaver_in_trouble(kind: str) -> None:
-    world = await _core_with_a_newcomer(3, 1)
+async def _leaving_member_fails(kind: str) -> None:
+    world = await _group_with_an_extra_member(3, 1)
     primary = await world.until_primary()
-    leaver = next(machine for machine in world.machines.values() if machine is not primary)
+    leaving = next(machine for machine in world.machines.values() if machine is not primary)
     for other in world.machines.values():
-        if kind == "cut off" and other is not leaver:
-            world.network.cut(leaver.address, other.address)
-            world.network.cut(other.address, leaver.address)
+        if kind == "cut off" and other is not leaving:
+            world.network.cut(leaving.address, other.address)
+            world.network.cut(other.address, leaving.address)
     started = asyncio.get_running_loop().time()
-    ended = leaver.terminate()
+    ended = leaving.terminate()
     if kind != "cut off":
         await asyncio.sleep(0.05)
-        (leaver.kill if kind == "killed" else leaver.freeze)()
-    # Then changes go on without it, and one that is cut off ends by itself within its grace time
-    assert await world.change(2, 3, 4.0, avoiding=leaver) == 3
+        (leaving.kill if kind == "killed" else leaving.freeze)()
+    # Then changes go on without it, and one that is cut off ends by itself within its grace period
+    assert await world.change(2, 3, 4.0, avoiding=leaving) == 3
     if kind == "cut off":
         await ended
         assert asyncio.get_running_loop().time() - started < GRACE_S
     await asyncio.sleep(GRACE_S)
-    leaver.take_away()
-    del world.machines[leaver.name]
-    # And another loss is borne
+    leaving.remove_permanently()
+    del world.machines[leaving.name]
+    # And another loss is tolerated
     next(machine for machine in world.machines.values() if machine is not primary).wipe()
-    assert await world.change(3, 4, PATIENCE_S) == 4
+    assert await world.change(3, 4, CHANGE_TIMEOUT_S) == 4
     world.require_sound()
 
 
 @pytest.mark.parametrize("kind", ["killed", "frozen", "cut off"])
-def test_given_a_leaver_in_trouble_then_it_counts_as_lost_and_another_loss_is_borne(kind: str) -> None:
-    run_world(_leaver_in_trouble(kind))
+def test_given_a_leaving_member_that_fails_then_it_counts_as_lost_and_another_loss_is_tolerated(
+    kind: str,
+) -> None:
+    run_world(_leaving_member_fails(kind))
 
 
 async def _never_flushed() -> None:
-    # Given disks on which nobody writes yet that the newest record is chosen
-    world = await _core_with_a_newcomer(3, 1)
+    # Given disks on which no member has stored that the newest record is chosen
+    world = await _group_with_an_extra_member(3, 1)
     await asyncio.sleep(2.0)
     primary = await world.until_primary()
     assert primary.replica is not None
     holders = {tenure.member for tenure in primary.replica.committed.roles.values()}
-    leaver = next(
+    leaving = next(
         machine
         for machine in world.machines.values()
         if machine is not primary and machine.replica is not None and machine.replica.member not in holders
     )
-    # When a member is told to end
-    ended = leaver.terminate()
+    # When a member is stopped
+    ended = leaving.terminate()
     await asyncio.sleep(2.0)
-    # Then it is not let go, although the record without it is chosen
+    # Then it is not released, although the record without it is chosen
     assert len(primary.replica.members()) == 3
-    assert not leaver.released
+    assert not leaving.released
     await ended
 
 
-def test_given_disks_that_do_not_know_the_record_then_the_member_is_not_let_go() -> None:
+def test_given_an_unconfirmed_record_on_the_disks_then_the_member_is_not_released() -> None:
     async def nothing(_: DurableImage) -> None:
         return None
 
--- a/tests/system/test_control_planted.py
+++ b/tests/system/test_control_planted.py
@@ -1,4 +1,4 @@
-"""Stories that fail when a guard is taken out: what each guard is there for."""
+"""Scenarios that fail when a safety condition is removed, at least one per condition."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
     return world
 
 
-async def _behind_wiped_and_dark() -> None:
-    """One member is behind, one forgot everything, and the one that knows is dark."""
+async def _behind_wiped_and_down() -> None:
+    """One member is behind, one has lost its disk, and the only up-to-date one is down."""
     world = await _started(1)
-    behind, dark, wiped = (world.machines[name] for name in ("core1", "core2", "core3"))
-    for other in (dark, wiped):
+    behind, down, wiped = (world.machines[name] for name in ("core1", "core2", "core3"))
+    for other in (down, wiped):
         world.network.cut(behind.address, other.address)
         world.network.cut(other.address, behind.address)
     assert await world.change(1, 2, 9.0, avoiding=behind) == 2
-    dark.kill()
+    down.kill()
     wiped.wipe()
     world.network.heal()
     wiped.start()
@@ -45,7 +45,7 @@
 
 
 async def _most_disks_lost() -> None:
-    """Two of three disks are lost while the third machine is dark: nobody may begin from nothing."""
+    """Two of three disks are lost while the third node is down: no node may start from an empty state."""
     world = await _started(2)
     world.machines["core1"].wipe()
     world.machines["core2"].wipe()
@@ -56,21 +56,21 @@
     assert world.primary() is None
 
 
-async def _deaf_backup() -> None:
-    """A backup that is cut off from the primary alone must not lead beside it."""
+async def _backup_cut_off_from_primary() -> None:
+    """A backup that is cut off only from the primary must not become a second primary."""
     world = await _started(3)
     watching = world.watch_primaries()
     primary = await world.until_primary()
-    deaf = next(machine for machine in world.machines.values() if machine is not primary)
-    world.network.cut(primary.address, deaf.address)
-    world.network.cut(deaf.address, primary.address)
+    backup = next(machine for machine in world.machines.values() if machine is not primary)
+    world.network.cut(primary.address, backup.address)
+    world.network.cut(backup.address, primary.address)
     await asyncio.sleep(20.0)
     watching.cancel()
     world.require_sound()
 
 
 async def _cut_off_primary() -> None:
-    """A primary that is cut off reads back nothing once another may lead."""
+    """A primary that is cut off answers no reads once another may be elected."""
     world = await _started(4)
     watching = world.watch_primaries()
     primary = await world.until_primary()
@@ -87,7 +87,7 @@
 
 
 async def _all_power_lost() -> None:
-    """Everything loses power right after an acknowledgement, many times."""
+    """All nodes lose power right after an acknowledgement, many times."""
     for seed in range(10, 30):
         world = await _started(seed)
         for version in range(2, 5):
@@ -120,7 +120,7 @@
 
 
 async def _answer_lost() -> None:
-    """A change whose answer was lost comes again."""
+    """A change whose answer was lost is retried."""
     world = await _started(6)
     primary = await world.until_primary()
     request = OperatorChange("PUT", "1", document(2, "again"))
@@ -130,7 +130,7 @@
 
 
 async def _role_moves() -> None:
-    """The holder of a role is lost, and another takes it over."""
+    """The holder of a role fails, and another takes over."""
     world = await _started(7)
     await asyncio.sleep(4.0)
     assert world.history.acts > 0
@@ -145,7 +145,7 @@
 
 
 async def _third_restarts_between_two() -> None:
-    """The primary and another lose each other, while the third, which reaches both, is restarted."""
+    """The primary and a backup can't reach each other, while the third, which reaches both, is restarted."""
     world = await _started(8)
     watching = world.watch_primaries()
     for _ in range(4):
@@ -164,7 +164,7 @@
 
 
 async def _frozen_for_long() -> None:
-    """A backup stands still while changes are acknowledged, and is looked at as it wakes."""
+    """A backup is frozen while changes are acknowledged, and is checked as it thaws."""
     world = await _started(9)
     watching = world.watch_claims()
     primary = await world.until_primary()
@@ -183,8 +183,8 @@
     world.require_sound()
 
 
-async def _told_to_end_beside_a_loss() -> None:
-    """Three members and a newcomer: one is told to end, and another loses its disk."""
+async def _stopped_during_a_loss() -> None:
+    """Three members and a new one: one is stopped, and another loses its disk."""
     world = await _started(10)
     await world.until(world.is_whole, 6.0, "a whole group")
     world.add_machine("core4").start()
@@ -196,12 +196,12 @@
     victim.wipe()
     victim.start()
     await ended
-    leaver.take_away()
+    leaver.remove_permanently()
     assert await world.change(1, 2, 9.0) == 2
 
 
 async def _two_operators() -> None:
-    """Two operators build on the same version."""
+    """Two operators base changes on the same version."""
     world = await _started(11)
     assert await world.change(1, 2, 9.0) == 2
     await world.change(1, 3, 9.0)
@@ -209,7 +209,7 @@
 
 
 async def _many_changes_in_one_batch() -> None:
-    """Six changes of one version wait together; the one that gets 200 is the one that is in force."""
+    """Six changes based on one version share a batch; the one answered with 200 is the one in force."""
     world = await _started(12)
     primary = await world.until_primary()
     first = asyncio.create_task(world.call(primary, WorkerDeparts("i-1")))
@@ -227,13 +227,13 @@
 
 
 async def _faults_of_kind(kind: str, seeds: range) -> None:
-    """Faults of one kind of the schedules, each on a new group."""
+    """Faults of one kind of the random schedules, each on a new group."""
     for seed in seeds:
         world = await _started(seed)
         world.watch_primaries()
         world.watch_claims()
         budget = DiskBudget(world)
-        await world.until(world.is_secured, 6.0, "a group that is known to be whole")
+        await world.until(world.is_secured, 6.0, "a confirmed group")
         budget.renew_when_whole()
         assert await Faults(world, random.Random(seed), budget).kinds[kind]()
         await world.settle()
@@ -243,7 +243,7 @@
 
 
 async def _old_primary_after_a_promise() -> None:
-    """A witness loses power between its promise and the record, and hears the old primary first."""
+    """A witness loses power between its promise and the record; the old primary reaches it first."""
     await _faults_of_kind("old primary after a promise", range(46, 58))
 
 
@@ -252,17 +252,17 @@
     await _faults_of_kind("power at a promise", range(30, 36))
 
 
-async def _wiped_beside_a_newcomer() -> None:
-    """Two empty machines that know of no group see each other alone."""
+async def _wiped_with_a_newcomer() -> None:
+    """Two nodes with empty disks that know no group reach only each other."""
     await _faults_of_kind("wiped beside a newcomer", range(30, 32))
 
 
 GUARDED: list[tuple[str, Story]] = [
     ("promise in memory", _old_primary_after_a_promise),
-    ("a wiped machine founds", _wiped_beside_a_newcomer),
-    ("no amnesia guard", _behind_wiped_and_dark),
+    ("a wiped machine founds", _wiped_with_a_newcomer),
+    ("no amnesia guard", _behind_wiped_and_down),
     ("a wiped machine founds", _most_disks_lost),
-    ("witness without lease", _deaf_backup),
+    ("witness without lease", _backup_cut_off_from_primary),
     ("primary without lease", _cut_off_primary),
     ("acknowledge before sync", _all_power_lost),
     ("append in memory", _all_power_lost),
@@ -273,7 +273,7 @@
     ("no lease after a restart", _third_restarts_between_two),
     ("current for ever", _frozen_for_long),
     ("current by any heartbeat", _frozen_for_long),
-    ("ends at once", _told_to_end_beside_a_loss),
+    ("ends at once", _stopped_during_a_loss),
     ("any precondition", _two_operators),
     ("answers exchanged", _many_changes_in_one_batch),
 ]
@@ -283,13 +283,13 @@
 
 
 @pytest.mark.parametrize("story", STORIES, ids=lambda it: it.__name__)
-def test_given_all_guards_then_the_story_holds(story: Story) -> None:
+def test_given_all_guards_then_the_scenario_passes(story: Story) -> None:
     run_world(story())
 
 
 @pytest.mark.parametrize(
     ("fault", "story"), GUARDED, ids=[f"{fault}-{story.__name__}" for fault, story in GUARDED]
 )
-def test_given_a_guard_taken_out_then_the_story_fails(fault: str, story: Story) -> None:
+def test_given_a_removed_guard_then_the_scenario_fails(fault: str, story: Story) -> None:
     with planted(fault), pytest.raises(AssertionError):
         run_world(story())
--- a/tests/system/test_control_schedules.py
+++ b/tests/system/test_control_schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults: nothing acknowledged is lost, nothing goes back, no two holders act."""
+"""Random schedules of faults: no acknowledged change is lost, no state regresses, no two holders act."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_given_three_machines_and_random_faults_then_every_promise_is_kept(seed: int) -> None:
+def test_given_three_machines_and_random_faults_then_every_guarantee_holds(seed: int) -> None:
     outcome = run_schedule(seed)
     assert outcome.violation is None, outcome.violation
     assert outcome.acknowledged > 0
 
 
 @pytest.mark.parametrize("seed", range(100, 106))
-def test_given_five_machines_and_two_losses_then_every_promise_is_kept(seed: int) -> None:
+def test_given_five_machines_and_two_losses_then_every_guarantee_holds(seed: int) -> None:
     outcome = run_schedule(seed, machines=5, losses=2)
     assert outcome.violation is None, outcome.violation
     assert outcome.acknowledged > 0
 
 
 @pytest.mark.parametrize("seed", range(200, 206))
-def test_given_a_fourth_machine_then_every_promise_is_kept(seed: int) -> None:
+def test_given_a_fourth_machine_then_every_guarantee_holds(seed: int) -> None:
     outcome = run_schedule(seed, machines=4, losses=1)
     assert outcome.violation is None, outcome.violation
     assert outcome.acknowledged > 0
 
 
-def test_a_seed_plays_the_same_schedule_in_every_process() -> None:
+def test_a_seed_gives_the_same_schedule_in_every_process() -> None:
     digests = {_digest(run_schedule(7).trace)}
     for hash_seed in ("1", "2"):
         environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
@@ -56,8 +56,8 @@
     assert len(digests) == 1
 
 
-def test_messages_that_travel_as_bytes_change_nothing() -> None:
-    def play(encodes: bool) -> list[str]:
+def test_sending_messages_as_bytes_does_not_change_a_schedule() -> None:
+    def trace_of(encodes: bool) -> list[str]:
         async def story() -> list[str]:
             schedule = Schedule(11, 3, 1)
             schedule.world.network.encodes = encodes
@@ -66,4 +66,4 @@
         trace: list[str] = run_world(story())
         return trace
 
-    assert play(True) == play(False)
+    assert trace_of(True) == trace_of(False)
--- a/tests/system/test_storage_log.py
+++ b/tests/system/test_storage_log.py
@@ -1,4 +1,4 @@
-"""The log in segments: torn tails are cut, damage is named, nothing that was synced is lost."""
+"""The segmented log: torn tails are truncated, damage is reported, no synced record is lost."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6), st.integers(0, 400), st.binary(max_size=60))
-def test_given_any_cut_and_any_rubbish_when_scanned_then_a_prefix_of_the_records_is_read(
-    records: list[bytes], cut: int, rubbish: bytes
+def test_given_any_truncation_and_any_garbage_when_scanned_then_a_prefix_of_the_records_is_read(
+    records: list[bytes], cut: int, garbage: bytes
 ) -> None:
     data = b"".join(encode_frame(record, 0) for record in records)
-    scanned = scan(data[:cut] + rubbish, "segment")
+    scanned = scan(data[:cut] + garbage, "segment")
     whole = [record for record in records]
     assert list(scanned.payloads)[: len(whole)] == whole[: len(scanned.payloads)]
 
 
-def test_given_damage_to_a_synced_record_then_file_and_offset_are_named() -> None:
+def test_given_damage_to_a_synced_record_then_file_and_offset_are_reported() -> None:
     folder = SimulatedFolder()
     log = SegmentedLog(folder)
     log.recover()
@@ -56,7 +56,7 @@
     assert (caught.value.file, caught.value.offset) == ("segment-00000000", second)
 
 
-def test_given_a_damaged_snapshot_then_it_is_named() -> None:
+def test_given_a_damaged_snapshot_then_it_is_reported() -> None:
     folder = SimulatedFolder()
     log = SegmentedLog(folder)
     log.recover()
@@ -81,15 +81,15 @@
 
 
 class LogMachine(RuleBasedStateMachine):
-    """Against a plain list: what was acknowledged survives any loss of power, in order, with no gap."""
+    """Compares the log with a list: acknowledged records survive any power loss, in order, without gaps."""
 
     def __init__(self) -> None:
         super().__init__()
         self.folder = SimulatedFolder()
         self.log = SegmentedLog(self.folder)
         self.log.recover()
-        self.durable: list[bytes] = []  # what an append or a compaction confirmed
-        self.possible: list[bytes] = []  # what a failed append may have left besides
+        self.durable: list[bytes] = []  # records confirmed by an append or a compaction
+        self.possible: list[bytes] = []  # records that a failed append may have left in addition
         self.draw = random.Random(0)
         self.broken = False
 
@@ -112,7 +112,7 @@
             self.broken = True
 
     @rule(full=st.booleans())
-    def fill(self, full: bool) -> None:
+    def set_full(self, full: bool) -> None:
         self.folder.full = full
 
     @rule(seed=st.integers(0, 10**6))
--- a/tests/system/test_usage_ledger.py
+++ b/tests/system/test_usage_ledger.py
@@ -1,4 +1,4 @@
-"""The usage windows of the replicated state: one decision each, whatever comes in whatever order."""
+"""The usage windows of the replicated state: each is decided once, whatever the order of entries."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 
 def test_given_a_snapshot_without_usage_then_it_reads_with_an_empty_ledger() -> None:
-    # An older node's snapshot ends before the field `usage`; to read it must not fail after an upgrade.
+    # An older node's snapshot ends before the field `usage`; reading it must not fail after an upgrade.
     state = apply_entry(ControlState(), RoleGrant("placement/s", "m1"))
     older = cbor2.loads(encode(state), tag_hook=lambda tag, *_: tag)
     assert older.tag == FIRST_TAG + 46
@@ -91,37 +91,37 @@
 
 
 def _report(
-    edge: str, ended_through: int, *windows: tuple[int, dict[str, int]], life: str = "1"
+    edge: str, ended_through: int, *windows: tuple[int, dict[str, int]], run: str = "1"
 ) -> UsageReport:
-    identity = NodeIdentity(edge, f"{edge}.{life}", "zone", "a:1", ("edge",))
+    identity = NodeIdentity(edge, f"{edge}.{run}", "zone", "a:1", ("edge",))
     return UsageReport(identity, tuple(WindowCounts(*window) for window in windows), ended_through)
 
 
 _EDGES = frozenset({"e1", "e2", "e3"})
 
 
-@pytest.mark.parametrize("again", [1, 3])
-def test_given_a_report_told_again_then_nothing_counts_twice(again: int) -> None:
+@pytest.mark.parametrize("times", [1, 3])
+def test_given_a_repeated_report_then_nothing_counts_twice(times: int) -> None:
     gathering = UsageGathering(LATE_S)
-    for _ in range(again):
+    for _ in range(times):
         gathering.take(_report("e1", 7, (7, {"huka": 3})), 6)
         gathering.take(_report("e2", 7, (7, {"huka": 2, "puhu": 1})), 6)
-        gathering.take(_report("e2", 7, (7, {"huka": 1})), 6)  # an older one that was late
+        gathering.take(_report("e2", 7, (7, {"huka": 1})), 6)  # an older report that arrived late
     gathering.take(_report("e3", 7), 6)
     due = gathering.due(_EDGES, 10.0, 0.0)
     assert due is not None
     assert (due.window, due.counts, due.is_complete) == (7, {"huka": 5, "puhu": 1}, True)
 
 
-def test_given_an_edge_that_was_restarted_then_the_counts_of_both_lives_add_up() -> None:
+def test_given_a_restarted_edge_then_the_counts_of_both_runs_add_up() -> None:
     gathering = UsageGathering(LATE_S)
     gathering.take(_report("e1", 6, (7, {"huka": 3})), 6)
-    gathering.take(_report("e1", 7, (7, {"huka": 2}), life="2"), 6)
+    gathering.take(_report("e1", 7, (7, {"huka": 2}), run="2"), 6)
     due = gathering.due(frozenset({"e1"}), 10.0, 0.0)
     assert due is not None and due.counts == {"huka": 5}
 
 
-def test_given_one_edge_whose_clock_was_set_ahead_then_no_window_ends_by_it() -> None:
+def test_given_one_edge_with_its_clock_set_ahead_then_no_window_ends_by_it() -> None:
     gathering = UsageGathering(LATE_S)
     gathering.take(_report("e1", 90, (7, {"huka": 3})), 6)
     gathering.take(_report("e2", 6, (7, {"huka": 3})), 6)
@@ -129,7 +129,7 @@
     assert gathering.due(_EDGES, 100.0, 0.0) is None
 
 
-def test_given_an_edge_that_is_silent_then_an_ended_window_waits_for_it_only_so_long() -> None:
+def test_given_an_unresponsive_edge_then_an_ended_window_waits_for_it_only_for_a_time() -> None:
     gathering = UsageGathering(LATE_S)
     gathering.take(_report("e1", 7, (7, {"huka": 3})), 6)
     gathering.take(_report("e2", 7), 6)
@@ -140,16 +140,16 @@
 
 
 def test_given_a_new_holder_then_it_gathers_before_it_decides() -> None:
-    # A new holder that decided by the first reports would leave out what the other edges have yet to tell.
+    # A new holder that decided on the first reports would omit counts that other edges have yet to report.
     gathering = UsageGathering(LATE_S)
     gathering.take(_report("e1", 7, (7, {"huka": 3})), 6)
     only = frozenset({"e1"})
-    assert GATHERING_S > 2 * REPORT_INTERVAL_S  # each edge has told it twice
+    assert GATHERING_S > 2 * REPORT_INTERVAL_S  # each edge has reported twice
     assert gathering.due(only, 50.0 + GATHERING_S - 0.1, 50.0) is None
     assert gathering.due(only, 50.0 + GATHERING_S, 50.0) is not None
 
 
-def test_given_settled_windows_then_they_are_forgotten_and_not_taken_again() -> None:
+def test_given_settled_windows_then_they_are_dropped_and_not_counted_again() -> None:
     gathering = UsageGathering(LATE_S)
     gathering.take(_report("e1", 7, (7, {"huka": 3})), 6)
     gathering.settle(7)
@@ -184,7 +184,7 @@
 
 
 def test_given_a_holder_that_lost_the_duty_then_it_decides_no_window() -> None:
-    # A holder that stood still would decide by the few counts it had gathered before.
+    # A holder that was frozen would decide on the few counts that it had gathered before.
     async def story() -> None:
         primary = Primary()
         primary.committed = apply_entry(primary.committed, RoleGrant(USAGE_ROLE, "m2"))
@@ -195,7 +195,7 @@
     asyncio.run(story())
 
 
-def test_given_a_settled_window_then_whoever_asks_gets_what_stands() -> None:
+def test_given_a_settled_window_then_every_caller_gets_the_decided_counts() -> None:
     async def story() -> None:
         primary = Primary()
         decisions = UsageDecisions(primary, None)  # type: ignore[arg-type]
