--- a/arrowfold/replication/epochs.py
+++ b/arrowfold/replication/epochs.py
@@ -305,10 +305,10 @@
         answer = await self._caller.call(
             source.member.address, FetchState(epoch), self._timings.durable_call_s
         )
-        image = answer.ok()
-        if not isinstance(image, StateImage) or image.epoch != epoch:
+        reply = answer.ok()
+        if not isinstance(reply, StateImage) or reply.epoch != epoch:
             return Err(EpochFault(f"{source.member.name} did not send its state", epoch))
-        return Ok((Position(image.position_epoch, image.state.sequence), image.state))
+        return Ok((Position(reply.position_epoch, reply.state.sequence), reply.state))
 
     async def _install(
         self,
--- a/arrowfold/replication/founding_anew.py
+++ b/arrowfold/replication/founding_anew.py
@@ -73,7 +73,7 @@
     )
 
 
-def bootstrap_image(exported: ExportedState, founder: MemberInfo) -> MemberImage:
+def bootstrap_state(exported: ExportedState, founder: MemberInfo) -> MemberImage:
     """The state of the first member of the new group, its only voter until others join."""
     epoch = exported.epoch + RECOVERY_OFFSET
     record = EpochRecord(epoch, founder.member, (founder.member,), (founder,), (Quorum((founder.member,)),))
@@ -97,7 +97,7 @@
     """
     if folder.names():
         return Err(StorageFault("the folder is not empty: move its files away, they may still be needed"))
-    image = bootstrap_image(exported, founder)
+    image = bootstrap_state(exported, founder)
     log = SegmentedLog(folder)
     log.recover()
     log.compact(encode(image))
--- a/arrowfold/replication/recovery.py
+++ b/arrowfold/replication/recovery.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedStorage:
-    """A member's identity, log and recovered image; `damage` is the reason why files were set aside."""
+    """A member's identity, log and recovered state; `damage` is the reason why files were set aside."""
 
     identity: Identity
     log: SegmentedLog
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -231,8 +231,8 @@
     ),
     (
         "a fetched state is of the promised epoch",
-        "if not isinstance(image, StateImage) or image.epoch != epoch:",
-        "if not isinstance(image, StateImage):",
+        "if not isinstance(reply, StateImage) or reply.epoch != epoch:",
+        "if not isinstance(reply, StateImage):",
     ),
     ("a candidate obeys its own promise", "if own is not None and not own.granted:", "if False:"),
 )
