--- a/arrowfold/replication/member.py
+++ b/arrowfold/replication/member.py
@@ -232,9 +232,9 @@
         """Renew the primary's lease if its record is accepted here and no higher epoch is promised."""
         now = self.clock()
         image = self.image
-        is_from_primary = request.epoch >= self.highest_epoch and request.epoch != self._handed_over_epoch
-        granted = is_from_primary and image.record is not None and image.record.epoch == request.epoch
-        if is_from_primary:
+        is_primary = request.epoch >= self.highest_epoch and request.epoch != self._handed_over_epoch
+        granted = is_primary and image.record is not None and image.record.epoch == request.epoch
+        if is_primary:
             self.primary_seen_at = now
             self.has_received_heartbeat = True
         if granted:
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -120,8 +120,8 @@
     ),
     (
         "a heartbeat is granted for the record's epoch only",
-        "granted = is_from_primary and image.record is not None and image.record.epoch == request.epoch",
-        "granted = is_from_primary and image.record is not None",
+        "granted = is_primary and image.record is not None and image.record.epoch == request.epoch",
+        "granted = is_primary and image.record is not None",
     ),
     ("what is published never goes back", "if state.sequence > self.published.sequence:", "if True:"),
 )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,7 +13,14 @@
 
 from arrowfold import interface as api
 from arrowfold.market.blocks import BLOCK, Blocks
-from arrowfold.membership.part import MERGE_RATIO, MIN_GROUP_SIZE, MIN_SIDE_SIZE, TARGET_SIZE, Part, name_hash
+from arrowfold.membership.part import (
+    MERGE_RATIO,
+    MIN_GROUP_SIZE,
+    MIN_SIDE_SIZE,
+    TARGET_SIZE,
+    Part,
+    name_hash,
+)
 from arrowfold.routing.core import Core
 from arrowfold.transport.loop import Loop
 from tests.field import settings
