--- a/arrowfold/transport/__init__.py
+++ b/arrowfold/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The lowest layer: the epoll loop, timers, streams and connection pools. Knows no protocol."""
+"""The lowest layer: the epoll loop, timers, streams and connection pools. Independent of any protocol."""
--- a/arrowfold/transport/budget.py
+++ b/arrowfold/transport/budget.py
@@ -1,4 +1,4 @@
-"""Who may hold how many of the process's descriptors."""
+"""Limits on the connections, and so the file descriptors, that each part of the process may hold."""
 
 from __future__ import annotations
 
@@ -7,34 +7,38 @@
 
 
 class Budget:
-    """Clients share what there is with connections to backend servers, which have a part kept for them.
+    """Divides a maximum number of connections between clients and backend servers.
 
-    Guards both against a crowd: clients that ask nothing give way when a server has to be reached.
+    A part is reserved for connections to servers, and idle connections of clients are closed when a server
+    must be reached, so that many clients can't prevent this, nor the servers' connections exclude clients.
     """
 
     def __init__(self, most: int) -> None:
         self.most, self.clients, self.servers = most, 0, 0
-        self.sheds: list[Callable[[], bool]] = []  # who can give up what is idle, in this order
+        self.sheds: list[Callable[[], bool]] = []  # each closes an idle connection if it can; in this order
 
     def resize(self, most: int) -> None:
-        """Another limit from now on; what is idle beyond it is given up."""
+        """Changes the maximum and closes idle connections above it."""
         self.most = most
         while self.clients + self.servers > self.most and any(shed() for shed in self.sheds):
             pass
 
     def most_clients(self) -> int:
-        """At least half, at most three quarters; in between, an eighth more than servers have is kept."""
+        """Returns the maximum for clients: between half and three quarters of all.
+
+        In between, an eighth more than the servers' current connections is reserved for servers.
+        """
         return self.most - min(max(self.most // 4, self.servers + self.most // 8), self.most // 2)
 
-    def room_for_server(self) -> bool:
-        """Whether one more connection to a server may be opened, something idle given up if need be."""
+    def can_open_server_connection(self) -> bool:
+        """Returns whether one more connection to a server may be opened; closes an idle one if necessary."""
         return self.clients + self.servers < self.most or any(shed() for shed in self.sheds)
 
 
-class House(Protocol):
-    """How many connections one listener may hold."""
+class ConnectionQuota(Protocol):
+    """Limit on the connections that one listener may hold."""
 
-    def has_room(self) -> bool: ...
+    def has_capacity(self) -> bool: ...
 
     def take(self) -> None: ...
 
@@ -42,17 +46,17 @@
 
 
 class ClientShare:
-    """One listener's part of what clients may hold."""
+    """A listener's share of the maximum for clients."""
 
     def __init__(self, budget: Budget, part: float) -> None:
         self.budget, self.part, self.held = budget, part, 0
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         most = self.budget.most_clients()
         return self.budget.clients < most and self.held < most * self.part
 
     def crowded(self) -> bool:
-        """Whether half of it is taken."""
+        """Returns whether more than half of the share is in use."""
         return self.held * 2 > self.budget.most_clients() * self.part
 
     def take(self) -> None:
@@ -65,12 +69,12 @@
 
 
 class Reserve:
-    """A few descriptors for one listener alone, whatever the others hold."""
+    """A fixed number of connections for one listener, independent of all others."""
 
     def __init__(self, most: int) -> None:
         self.most, self.held = most, 0
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         return self.held < self.most
 
     def take(self) -> None:
--- a/arrowfold/transport/loop.py
+++ b/arrowfold/transport/loop.py
@@ -1,7 +1,7 @@
-"""A `select.epoll` loop that runs generators as coroutines.
+"""An event loop on `select.epoll` that runs generators as coroutines.
 
-A task parks itself with a bare `yield` and runs on when somebody wakes it. Wakes carry no value and
-may be spurious: who parks looks at its condition again, as with a condition variable.
+A task suspends itself with a bare `yield` and continues when `Task.wake` is called. Wake-ups carry no value
+and may be spurious: a task must check its condition again, as with a condition variable.
 """
 
 from __future__ import annotations
@@ -15,21 +15,23 @@
 from typing import Protocol, TypeVar
 
 T = TypeVar("T")
-Steps = Generator[None, None, T]  # what a coroutine is here: parks at each yield, returns a T
+Steps = Generator[None, None, T]  # a coroutine: suspends at each yield, returns a T
 
 ZERO = timedelta(0)
-LONGEST_POLL = timedelta(seconds=1)
-MOST_EVENTS = 64  # in one turn, so that who is urgent waits for no crowd
+MAX_POLL_WAIT = timedelta(seconds=1)
+MAX_EVENTS_PER_POLL = 64  # bounds the time until urgent descriptors are served again
 
 
 class Watcher(Protocol):
-    """Who is told what epoll saw of a descriptor."""
+    """Receives the epoll events of a descriptor."""
 
-    def on_ready(self, mask: int) -> None: ...
+    def on_ready(self, mask: int) -> None:
+        """Handles an event; `mask` holds epoll event bits."""
+        ...
 
 
 class Timer:
-    """A call that is due at a time, until it is cancelled."""
+    """A scheduled call that can be cancelled."""
 
     __slots__ = ("call",)
 
@@ -41,7 +43,7 @@
 
 
 class Task:
-    """A running generator."""
+    """A coroutine run by the loop; an `urgent` one is queued before all others."""
 
     __slots__ = ("done", "loop", "name", "queued", "steps", "urgent")
 
@@ -50,7 +52,7 @@
         self.queued = self.done = False
 
     def wake(self) -> None:
-        """Let the task run on in this turn of the loop."""
+        """Schedules the task to continue in this turn of the loop."""
         if not self.queued and not self.done:
             self.queued = True
             if self.urgent:
@@ -59,12 +61,13 @@
                 self.loop.ready.append(self)
 
     def stop(self) -> None:
-        """End the task where it is parked; its `finally` blocks run now."""
+        """Ends the task where it is suspended; its `finally` blocks run now."""
         if not self.done and self.loop.current is not self:
             self.done = True
             self.steps.close()
 
     def run(self) -> None:
+        """Runs the task up to its next suspension."""
         self.queued = False
         if self.done:
             return
@@ -74,7 +77,7 @@
         except StopIteration:
             self.done = True
         except Exception as error:
-            # Guards against one peer's input ending the process: only this task is given up.
+            # One peer's input must not end the process: only this task ends.
             self.done = True
             self.loop.on_fault(self.name, error)
         finally:
@@ -82,57 +85,61 @@
 
 
 class Loop:
-    """The loop of a process: one thread, one epoll."""
+    """The event loop of a process: one thread, one epoll instance."""
 
     def __init__(self, on_fault: Callable[[str, BaseException], None]) -> None:
         self.epoll = select.epoll()
         self.watchers: dict[int, Watcher] = {}
         self.urgent: set[int] = set()  # descriptors served before all others in each turn
-        self.fresh: set[int] = set()  # descriptors watched since epoll was last asked
+        self.newly_watched: set[int] = set()  # descriptors registered since the last poll
         self.ready: deque[Task] = deque()
         self.timers: list[tuple[timedelta, int, Timer]] = []
         self.sequence = 0
         self.current: Task | None = None
         self.stopping = False
         self.on_fault = on_fault
-        # Unix time that never jumps: discovery's start times and the module's clock must agree.
+        # Unix time that never jumps: the dispatcher compares its clock with start times from discovery.
         self._epoch = timedelta(seconds=time.time()) - timedelta(seconds=time.monotonic())
 
     def now(self) -> timedelta:
-        """Time since the Unix epoch, going forward only."""
+        """Returns the time since the Unix epoch; monotonic."""
         return self._epoch + timedelta(seconds=time.monotonic())
 
     def watch(self, fd: int, watcher: Watcher, urgent: bool = False) -> None:
-        """Tell the watcher of each change of this descriptor; who is urgent comes first in each turn."""
+        """Registers a watcher for a descriptor's events, edge-triggered; urgent ones are served first."""
         self.watchers[fd] = watcher
-        self.fresh.add(fd)
+        self.newly_watched.add(fd)
         if urgent:
             self.urgent.add(fd)
         self.epoll.register(fd, select.EPOLLIN | select.EPOLLOUT | select.EPOLLRDHUP | select.EPOLLET)
 
     def unwatch(self, fd: int) -> None:
+        """Removes a descriptor's watcher; to be called before the descriptor is closed."""
         self.urgent.discard(fd)
         if self.watchers.pop(fd, None) is not None:
             self.epoll.unregister(fd)
 
     def call_at(self, when: timedelta, call: Callable[[], None]) -> Timer:
+        """Schedules a call; calls due at the same time run in the order of their scheduling."""
         self.sequence += 1
         timer = Timer(call)
         heapq.heappush(self.timers, (when, self.sequence, timer))
         return timer
 
     def call_later(self, delay: timedelta, call: Callable[[], None]) -> Timer:
+        """Schedules a call after a delay."""
         return self.call_at(self.now() + delay, call)
 
     def spawn(self, steps: Steps[None], name: str, urgent: bool = False) -> Task:
+        """Starts a coroutine as a task; `name` is passed to `on_fault` if it raises."""
         task = Task(self, steps, name, urgent)
         task.wake()
         return task
 
     def park(self, until: timedelta | None = None) -> Steps[None]:
-        """Wait to be woken, at the latest at a time."""
+        """Suspends the current task until it is woken or the given time has come."""
         task = self.current
-        assert task is not None, "only a task can wait"
+        assert task is not None, "only a task can be suspended"
         timer = self.call_at(until, task.wake) if until is not None else None
         try:
             yield
@@ -141,45 +148,47 @@
                 timer.cancel()
 
     def turn(self) -> Steps[None]:
-        """Let everybody else run first. Guards against one peer that always has more for us."""
-        assert self.current is not None, "only a task can wait"
+        """Yields to all other tasks, so that a peer with endless input can't monopolise the loop."""
+        assert self.current is not None, "only a task can be suspended"
         self.current.wake()
         yield
 
     def sleep(self, span: timedelta) -> Steps[None]:
+        """Suspends the current task for at least this time."""
         until = self.now() + span
         while self.now() < until:
             yield from self.park(until)
 
     def run(self) -> None:
-        """Turn until `stopping` is set."""
+        """Runs until `stopping` is set."""
         while not self.stopping:
             self._run_ready()
-            self.fresh.clear()
-            events = self.epoll.poll(0 if self.ready else self._poll_span(), MOST_EVENTS)
+            self.newly_watched.clear()
+            events = self.epoll.poll(0 if self.ready else self._poll_timeout(), MAX_EVENTS_PER_POLL)
             if not self.urgent.isdisjoint(fd for fd, _ in events):
                 events.sort(key=lambda event: event[0] not in self.urgent)
             for fd, mask in events:
-                # Guards who has just been given a closed one's number against what epoll saw of that one.
-                watcher = self.watchers.get(fd) if fd not in self.fresh else None
+                # A descriptor registered during this turn may reuse the number of a closed one, whose events
+                # must not reach it.
+                watcher = self.watchers.get(fd) if fd not in self.newly_watched else None
                 if watcher is not None:
                     watcher.on_ready(mask)
                     self._run_ready()
-            self._fire()
+            self._fire_timers()
 
     def _run_ready(self) -> None:
-        """Run who is ready now; who wakes itself meanwhile waits for the next pass."""
+        """Runs the tasks that are ready now; tasks woken meanwhile wait for the next pass."""
         for _ in range(len(self.ready)):
             self.ready.popleft().run()
 
-    def _poll_span(self) -> float:
+    def _poll_timeout(self) -> float:
         while self.timers and self.timers[0][2].call is None:
             heapq.heappop(self.timers)
         if not self.timers:
-            return LONGEST_POLL.total_seconds()
-        return max(ZERO, min(self.timers[0][0] - self.now(), LONGEST_POLL)).total_seconds()
+            return MAX_POLL_WAIT.total_seconds()
+        return max(ZERO, min(self.timers[0][0] - self.now(), MAX_POLL_WAIT)).total_seconds()
 
-    def _fire(self) -> None:
+    def _fire_timers(self) -> None:
         now = self.now()
         while self.timers and self.timers[0][0] <= now:
             call = heapq.heappop(self.timers)[2].call
--- a/arrowfold/transport/pool.py
+++ b/arrowfold/transport/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to one address, kept for reuse and closed before the far side would."""
+"""Pools of idle connections, kept for reuse and closed before the server would close them."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from arrowfold.transport.loop import ZERO, Loop, Steps
 from arrowfold.transport.stream import Address, Broken, Stream, connect
 
-# A connection that carried a job rests so long before its next request. Guards against a far side that
-# answers twice: what comes late would be read as the answer to another request.
+# Time between the answer to a job and the connection's next request. If a server answers twice, the second
+# answer then arrives while the connection is idle, instead of being read as the answer to another request.
 REST = timedelta(milliseconds=50)
-SHORTEST_LIFE = timedelta(milliseconds=100)  # one closed sooner was not closed for standing idle
+MIN_IDLE_LIFETIME = timedelta(milliseconds=100)  # a connection closed sooner was not closed for being idle
 
 
 class NoRoom(Broken):
-    """Every connection that this process may hold is in use: no fault of who was to be reached."""
+    """Every connection that this process may hold is in use; the server is not at fault."""
 
 
 class Pools:
-    """All pools of a process."""
+    """All pools of a process, with their common budget."""
 
     def __init__(self, budget: Budget) -> None:
         self.budget = budget
@@ -28,7 +28,7 @@
         budget.sheds.append(self.drop_oldest)
 
     def drop_oldest(self) -> bool:
-        """Give up the connection that has been idle longest."""
+        """Closes the connection that has been idle longest; returns whether there was one."""
         idle = [pool for pool in self.open if pool.idle]
         return bool(idle) and min(idle, key=lambda pool: pool.idle[0][0]).drop_oldest()
 
@@ -40,25 +40,26 @@
         self.loop, self.address, self.idle_span = loop, address, idle
         self.pools, self.budget = pools, pools.budget
         self.idle: deque[tuple[timedelta, Stream]] = deque()
-        self.rests: dict[Stream, timedelta] = {}  # until when some of the idle ones are left alone
+        self.reusable_at: dict[Stream, timedelta] = {}  # idle connections not to be used before a time
         self.opened = 0
-        self.sweeping = self.closed = False
-        self.lives: deque[timedelta] = deque(maxlen=8)  # how long the far side lately let one stand idle
+        self.sweep_scheduled = self.closed = False
+        # Idle times after which the server has recently closed connections.
+        self.idle_lifetimes: deque[timedelta] = deque(maxlen=8)
         pools.open.append(self)
 
     def take(self, until: timedelta) -> Steps[Stream]:
-        """An idle connection that still stands, else a new one; Broken when none comes up."""
+        """Returns an open idle connection or else a new one; raises Broken if none can be opened."""
         now = self.loop.now()
         for place in reversed(range(len(self.idle))):
             since, stream = self.idle[place]
-            if now < self.rests.get(stream, now):
+            if now < self.reusable_at.get(stream, now):
                 continue
             del self.idle[place]
-            self._rouse(stream)
-            if now - since < self._span() and self._stands(stream):
+            self._mark_in_use(stream)
+            if now - since < self._max_idle() and self._is_open(stream):
                 return stream
             self.drop(stream)
-        if not self.budget.room_for_server():
+        if not self.budget.can_open_server_connection():
             raise NoRoom("every connection that this process may hold is in use")
         self.budget.servers += 1
         try:
@@ -70,38 +71,39 @@
         return stream
 
     def give_back(self, stream: Stream, rest: timedelta = ZERO) -> None:
-        """Keep a connection on which nothing is under way, and leave it alone for a while."""
+        """Returns a connection without a pending request to the pool; not reused for the time `rest`."""
         if stream.closed or self.closed:
             self.drop(stream)
             return
-        # Guards against sending on a connection that the far side has closed or written to meanwhile.
-        stream.on_idle_event = lambda: self._discard(stream)
+        # A connection that the server has closed or written to while idle must not be used again.
+        stream.on_idle_event = lambda: self._discard_idle(stream)
         if rest:
-            self.rests[stream] = self.loop.now() + rest
+            self.reusable_at[stream] = self.loop.now() + rest
         self.idle.append((self.loop.now(), stream))
-        if not self.sweeping:
-            self.sweeping = True
+        if not self.sweep_scheduled:
+            self.sweep_scheduled = True
             self.loop.call_later(self.idle_span / 4, self._sweep)
 
     def drop(self, stream: Stream) -> None:
-        """Close a connection that was taken from here."""
-        self._rouse(stream)
+        """Closes a connection of this pool."""
+        self._mark_in_use(stream)
         stream.close()
         self.budget.servers -= 1
 
-    def _rouse(self, stream: Stream) -> None:
-        """It is no longer idle."""
+    def _mark_in_use(self, stream: Stream) -> None:
+        """Removes the state that a connection has while idle."""
         stream.on_idle_event = None
-        self.rests.pop(stream, None)
+        self.reusable_at.pop(stream, None)
 
     def drop_oldest(self) -> bool:
+        """Closes the connection that has been idle longest; returns whether there was one."""
         if not self.idle:
             return False
         self.drop(self.idle.popleft()[1])
         return True
 
     def close(self) -> None:
-        """Close what is idle, and what is in use once it is given back."""
+        """Closes idle connections now and those in use when they are given back."""
         self.closed = True
         while self.drop_oldest():
             pass
@@ -109,32 +111,33 @@
             self.pools.open.remove(self)
 
     @staticmethod
-    def _stands(stream: Stream) -> bool:
+    def _is_open(stream: Stream) -> bool:
         try:
             return stream.try_read() is None
         except Broken:
             return False
 
-    def _discard(self, stream: Stream) -> None:
+    def _discard_idle(self, stream: Stream) -> None:
         for place, (since, other) in enumerate(self.idle):
             if other is stream:
-                if self.loop.now() - since >= SHORTEST_LIFE:
-                    self.lives.append(self.loop.now() - since)
+                if self.loop.now() - since >= MIN_IDLE_LIFETIME:
+                    self.idle_lifetimes.append(self.loop.now() - since)
                 del self.idle[place]
                 self.drop(stream)
                 return
 
-    def _span(self) -> timedelta:
-        """How long one may stand idle here and still be used.
+    def _max_idle(self) -> timedelta:
+        """Returns the maximum idle time after which a connection may still be used.
 
-        Guards against a far side that closes sooner than agreed: a request that crosses its close is a reset.
+        It adapts to a server that closes idle connections sooner than agreed, since a request sent while the
+        server closes the connection ends in a reset.
         """
-        return min(self.idle_span, min(self.lives) * 0.8) if self.lives else self.idle_span
+        return min(self.idle_span, min(self.idle_lifetimes) * 0.8) if self.idle_lifetimes else self.idle_span
 
     def _sweep(self) -> None:
-        self.sweeping = False
+        self.sweep_scheduled = False
         while self.idle and self.loop.now() - self.idle[0][0] >= self.idle_span * 0.7:
             self.drop_oldest()
         if self.idle:
-            self.sweeping = True
+            self.sweep_scheduled = True
             self.loop.call_later(self.idle_span / 4, self._sweep)
--- a/arrowfold/transport/stream.py
+++ b/arrowfold/transport/stream.py
@@ -8,29 +8,32 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from arrowfold.transport.budget import House
+from arrowfold.transport.budget import ConnectionQuota
 from arrowfold.transport.loop import ZERO, Loop, Steps, Task
 
-CHUNK = 65536
-MOST_LINGER = 96 * 1024 * 1024
-LINGER_TURN = 1024 * 1024  # discarded in one turn of the loop
-BURST = 256 * 1024  # read from one stream before others have their turn
-MOST_ACCEPTED = 32  # connections taken in one turn of the loop
-_WASTE = bytearray(256 * 1024)  # MSG_TRUNC leaves it as it is
+READ_BYTES = 65536
+MAX_LINGER_BYTES = 96 * 1024 * 1024  # discarded by one `Stream.linger`
+LINGER_BYTES_PER_TURN = 1024 * 1024  # discarded before other tasks run
+MAX_BURST_BYTES = 256 * 1024  # read from one stream before other tasks run
+MAX_ACCEPTS_PER_TURN = 32  # connections accepted before other tasks run
+_DISCARD_BUFFER = bytearray(256 * 1024)  # never written to, see `Stream.linger`
 Address = tuple[str, int]
-RETRY_ACCEPT = timedelta(milliseconds=50)
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=50)
 
 
 class Broken(Exception):
-    """The connection broke, or never came up."""
+    """The connection broke or could not be established."""
 
 
 class Late(Exception):
-    """What was waited for did not come in time."""
+    """An operation exceeded its deadline."""
 
 
 class Stream:
-    """One connection. One task reads; writes wait for room, so that nothing piles up here."""
+    """One connection, read by at most one task and written by at most one.
+
+    A write waits while the socket's send buffer is full, so that no data is buffered here.
+    """
 
     __slots__ = (
         "burst", "closed", "connected", "loop", "on_idle_event", "peer", "reader", "sock", "writer")
@@ -40,14 +43,15 @@
     ) -> None:
         self.loop, self.sock, self.connected = loop, sock, connected
         self.closed = False
-        self.burst = 0  # bytes read since this stream's reader last waited
-        self.peer: str | None = None  # the other side's address, of a connection that was accepted
+        self.burst = 0  # bytes read since the reading task was last suspended
+        self.peer: str | None = None  # the client's address, for an accepted connection
         self.reader: Task | None = None
         self.writer: Task | None = None
         self.on_idle_event: Callable[[], None] | None = None
         loop.watch(sock.fileno(), self, urgent)
 
     def on_ready(self, mask: int) -> None:
+        """Wakes the reading and writing tasks, or calls `on_idle_event` if it is set."""
         if self.on_idle_event is not None and mask & ~select.EPOLLOUT:
             self.on_idle_event()
             return
@@ -56,10 +60,10 @@
         if mask & ~select.EPOLLIN and self.writer is not None:
             self.writer.wake()
 
-    def try_read(self, most: int = CHUNK) -> bytes | None:
-        """What has come in; empty at the end, None while nothing is there."""
+    def try_read(self, most: int = READ_BYTES) -> bytes | None:
+        """Returns received bytes, empty bytes at the end of the stream, or None if nothing is available."""
         if self.closed:
-            raise Broken("closed here")
+            raise Broken("connection closed locally")
         try:
             return self.sock.recv(most)
         except (BlockingIOError, InterruptedError):
@@ -68,7 +72,10 @@
             raise Broken(str(error)) from error
 
     def quiet(self) -> bool:
-        """Whether nothing waits to be read. Guards a request that has come, and was not looked at yet."""
+        """Returns whether nothing is waiting to be read.
+
+        Checked before an idle connection is closed, since a request may have arrived but not been read yet.
+        """
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -78,10 +85,10 @@
         return False
 
     def read(self, until: timedelta | None = None) -> Steps[bytes]:
-        """The next bytes; empty once the peer has ended its sending."""
+        """Returns the next bytes, empty at the end of the stream; raises Late if `until` passes before."""
         while True:
-            if self.burst >= BURST:
-                # Guards all others, and every timer, against a peer that sends without end.
+            if self.burst >= MAX_BURST_BYTES:
+                # A peer that sends without end must not keep other tasks and timers from running.
                 self.burst = 0
                 yield from self.loop.turn()
             data = self.try_read()
@@ -89,11 +96,11 @@
                 self.burst += len(data)
                 return data
             if until is not None and self.loop.now() >= until:
-                raise Late("nothing came")
+                raise Late("no data received before the deadline")
             yield from self.wait_readable(until)
 
     def wait_readable(self, until: timedelta | None = None) -> Steps[None]:
-        """Wait for bytes or an end; wakes may be spurious."""
+        """Waits for data or the end of the stream; wake-ups may be spurious."""
         self.burst, self.reader = 0, self.loop.current
         try:
             yield from self.loop.park(until)
@@ -101,11 +108,11 @@
             self.reader = None
 
     def write(self, data: bytes, until: timedelta | None = None) -> Steps[None]:
-        """Hand every byte to the system, or raise."""
+        """Passes all bytes to the kernel; raises Broken, or Late if `until` passes before."""
         rest = memoryview(data)
         while rest:
             if self.closed:
-                raise Broken("closed here")
+                raise Broken("connection closed locally")
             try:
                 rest = rest[self.sock.send(rest):]
                 continue
@@ -114,7 +121,7 @@
             except OSError as error:
                 raise Broken(str(error)) from error
             if until is not None and self.loop.now() >= until:
-                raise Late("the peer takes nothing")
+                raise Late("no data accepted by the peer before the deadline")
             self.writer = self.loop.current
             try:
                 yield from self.loop.park(until)
@@ -122,17 +129,18 @@
                 self.writer = None
 
     def linger(self, until: timedelta, quiet: timedelta) -> Steps[None]:
-        """End our sending, and discard what the peer still sends, until it has been quiet for a while.
+        """Ends sending and discards further input until none has arrived for the time `quiet`.
 
-        Guards an answer's last bytes: closing with something unread would reset the connection under them.
+        Closing a connection with unread input resets it, and the client could lose the end of an answer.
         """
         try:
             self.sock.shutdown(socket.SHUT_WR)
-            left, heard = MOST_LINGER, self.loop.now()
-            turn = left - LINGER_TURN
+            left, heard = MAX_LINGER_BYTES, self.loop.now()
+            turn = left - LINGER_BYTES_PER_TURN
             while left > 0 and not self.closed and self.loop.now() < min(until, heard + quiet):
                 try:
-                    count = self.sock.recv_into(_WASTE, 0, socket.MSG_TRUNC)  # the system copies nothing
+                    # With MSG_TRUNC the kernel discards the data without copying it.
+                    count = self.sock.recv_into(_DISCARD_BUFFER, 0, socket.MSG_TRUNC)
                 except (BlockingIOError, InterruptedError):
                     yield from self.wait_readable(min(until, heard + quiet))
                     continue
@@ -140,12 +148,13 @@
                     return
                 left, heard = left - count, self.loop.now()
                 if left < turn:
-                    turn = left - LINGER_TURN
+                    turn = left - LINGER_BYTES_PER_TURN
                     yield from self.loop.turn()
         except OSError:
             return
 
     def close(self) -> None:
+        """Closes the connection and wakes the tasks that wait on it; idempotent."""
         if not self.closed:
             self.closed = True
             self.loop.unwatch(self.sock.fileno())
@@ -156,7 +165,7 @@
 
 
 def connect(loop: Loop, address: Address, until: timedelta) -> Steps[Stream]:
-    """A connection that is up, or Broken."""
+    """Returns an established connection, or raises Broken."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     except OSError as error:
@@ -186,7 +195,7 @@
                 stream.connected = True
             except OSError as error:
                 if loop.now() >= until:
-                    raise Broken("never came up") from error
+                    raise Broken("connection not established before the deadline") from error
     except BaseException:
         stream.close()
         raise
@@ -194,44 +203,49 @@
 
 
 class Listener:
-    """Accepts connections while there is room for them; those beyond wait in the system's backlog."""
+    """Accepts connections while its quota allows; further ones wait in the kernel's backlog.
+
+    `on_full` is called when the quota is used up; it returns whether it has released a connection.
+    """
 
     def __init__(
-            self, loop: Loop, address: Address, house: House,
+            self, loop: Loop, address: Address, quota: ConnectionQuota,
             on_stream: Callable[[Stream], None], on_full: Callable[[], bool] = lambda: False,
             urgent: bool = False, sock: socket.socket | None = None,
     ) -> None:
-        self.loop, self.house, self.urgent = loop, house, urgent
+        self.loop, self.quota, self.urgent = loop, quota, urgent
         self.on_stream, self.on_full = on_stream, on_full
-        self.waiting = False
+        self.retry_scheduled = False
         if sock is None:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            # A process that replaces one which hangs has to listen beside it.
+            # A process that replaces a hanging one must be able to listen on the same address.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             sock.bind(address)
-        self.sock = sock  # bound here, or inherited from this node's process before
+        self.sock = sock  # bound here or inherited from this node's previous process
 
     def open(self) -> None:
-        """Accept from now on."""
+        """Starts accepting connections."""
         self.sock.listen(1024)
         self.loop.watch(self.sock.fileno(), self, self.urgent)
         self.accept()
 
     @property
     def address(self) -> Address:
+        """The bound host and port."""
         host, port = self.sock.getsockname()
         return host, port
 
     def on_ready(self, mask: int) -> None:
+        """Accepts waiting connections."""
         del mask
         self.accept()
 
     def accept(self) -> None:
-        """Take what waits. A full house or table of descriptors is looked at again a little later."""
-        for _ in range(MOST_ACCEPTED):
-            if not self.house.has_room() and not self.on_full():
-                self._again(RETRY_ACCEPT)
+        """Accepts waiting connections; retries later when the quota or the descriptors are used up."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if not self.quota.has_capacity() and not self.on_full():
+                self._schedule_retry(ACCEPT_RETRY_DELAY)
                 return
             try:
                 sock, address = self.sock.accept()
@@ -240,34 +254,35 @@
             except ConnectionError:
                 continue
             except OSError:
-                # Guards against EMFILE: edge-triggered epoll won't say a second time that somebody waits.
+                # E.g. EMFILE: edge-triggered epoll does not report the waiting connection a second time.
                 self.on_full()
-                self._again(RETRY_ACCEPT)
+                self._schedule_retry(ACCEPT_RETRY_DELAY)
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.house.take()
+            self.quota.take()
             stream = Stream(self.loop, sock, connected=True, urgent=self.urgent)
             stream.peer = address[0]
             self.on_stream(stream)
-        self._again(ZERO)  # guards who is served already against a crowd that comes all at once
+        self._schedule_retry(ZERO)  # lets accepted clients be served during a burst of connections
 
     def released(self) -> None:
-        """One accepted stream has been closed."""
-        self.house.release()
+        """Must be called once for each accepted stream that has been closed."""
+        self.quota.release()
 
-    def _again(self, delay: timedelta) -> None:
-        if not self.waiting:
-            self.waiting = True
+    def _schedule_retry(self, delay: timedelta) -> None:
+        if not self.retry_scheduled:
+            self.retry_scheduled = True
             self.loop.call_later(delay, self.retry)
 
     def retry(self) -> None:
-        """Take what waits now, unless this one is closed."""
-        self.waiting = False
+        """Accepts waiting connections unless the listener is closed."""
+        self.retry_scheduled = False
         if self.sock.fileno() >= 0:
             self.accept()
 
     def close(self) -> None:
+        """Stops listening; idempotent."""
         if self.sock.fileno() >= 0:
             self.loop.unwatch(self.sock.fileno())
             self.sock.close()
