--- a/arrowfold/routes/__init__.py
+++ b/arrowfold/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: an ordered table of rules that says where a job may go. Does no I/O, and knows no wire."""
+"""Routes: an ordered table of rules that restrict where a job may go. No I/O, independent of any protocol."""
--- a/arrowfold/routes/rules.py
+++ b/arrowfold/routes/rules.py
@@ -1,7 +1,7 @@
-"""What a route is: the jobs that a rule matches, and what it says of them. Plain types with no look-up.
+"""Data types of routes; the look-up is in `arrowfold.routes.table`.
 
-A rule says which jobs it matches and one action: prefer regions in order, only these regions, only these
-kinds, or deny. It chooses no server: the decision module does, among what the rule leaves.
+A rule consists of a match, which selects jobs, and one action: prefer regions in order, allow only some
+regions, allow only some kinds of server, or deny. The dispatcher chooses a server among those that remain.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """What a route can tell of a job; None where the job does not say."""
+    """The attributes of a job that rules can match; None where the job has none."""
 
     request_class: str
     region: str | None = None
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Match:
-    """Which jobs a rule matches: all that satisfy each part that is not empty."""
+    """The jobs that a rule matches: those that satisfy every part that is not empty."""
 
     classes: frozenset[str] = frozenset()
     regions: frozenset[str] = frozenset()
@@ -36,21 +36,21 @@
     key_prefixes: frozenset[str] = frozenset()
     tenants: frozenset[str] = frozenset()
     networks: frozenset[str] = frozenset()  # in CIDR form
-    retry: bool | None = None
+    retry: bool | None = None  # whether the client has sent the job before
 
 
 @dataclass(frozen=True, slots=True)
 class Action:
-    """What a rule says. Exactly one of the parts is given."""
+    """The action of a rule. Exactly one of the first four fields is set."""
 
-    prefer: tuple[str, ...] = ()  # regions, the preferred first; others serve when these have no room
-    only: tuple[str, ...] = ()  # regions, in no order
+    prefer: tuple[str, ...] = ()  # regions in order of preference; others are used when these are full
+    only: tuple[str, ...] = ()  # regions, without an order
     kinds: frozenset[str] = frozenset()
     deny: bool = False
-    retry_after: timedelta | None = None  # with `deny`: when to come back; None where nothing is said
+    retry_after: timedelta | None = None  # with `deny`: when the client may retry; None: not stated
 
     def reach(self, regions: Mapping[str, frozenset[str]]) -> Reach | None:
-        """What this leaves of the backend servers, with each region's zones; None for a denial."""
+        """Returns the servers that the action allows, given each region's zones; None for a denial."""
         if self.deny:
             return None
         if self.only:
@@ -69,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Routes:
-    """What a document says of routes: the regions' zones, and the rules in their order."""
+    """The routes of a configuration document: the zones of each region and the rules in order."""
 
     regions: Mapping[str, frozenset[str]]
     rules: tuple[Rule, ...] = ()
 
 
 class Router(Protocol):
-    """What the core asks for each job."""
+    """Look-up of a job's rule, as the core uses it."""
 
     def find(self, subject: Subject) -> tuple[Rule, Reach | None] | None:
-        """The rule that holds for a job, and what it leaves; None where no rule does."""
+        """Returns the rule that applies to a job and the reach it allows, or None if no rule matches."""
--- a/arrowfold/routes/table.py
+++ b/arrowfold/routes/table.py
@@ -1,4 +1,4 @@
-"""The route table: rules in order, of which the first that matches a job holds; compiled once."""
+"""The route table: an ordered list of rules, compiled once. The first rule that matches a job applies."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 
 def holds(match: Match, subject: Subject) -> bool:
-    """Whether a rule matches this job: the plain reading, which the compiled table is tested against."""
-    of_key = not match.keys and not match.key_prefixes
+    """Returns whether a rule matches a job: the reference for the tests of the compiled table."""
+    key_matches = not match.keys and not match.key_prefixes
     if subject.key is not None:
-        of_key = of_key or subject.key in match.keys or subject.key.startswith(tuple(match.key_prefixes))
-    of_network = not match.networks
+        key_matches = (
+            key_matches or subject.key in match.keys or subject.key.startswith(tuple(match.key_prefixes)))
+    network_matches = not match.networks
     if match.networks and subject.client is not None:
-        of_network = subject.client in _as_set(match.networks)
+        network_matches = subject.client in _as_set(match.networks)
     return (
-        of_key and of_network and match.retry in (None, subject.resent)
+        key_matches and network_matches and match.retry in (None, subject.resent)
         and (not match.classes or subject.request_class in match.classes)
         and (not match.regions or subject.region in match.regions)
         and (not match.tenants or subject.tenant in match.tenants))
@@ -35,9 +36,9 @@
 class RouteTable:
     """The compiled table.
 
-    Each part of a match has, for each value, the set of rules that it lets through, as the bits of one
-    number; so a look-up is one intersection a part, and the lowest bit left is the first rule that matches.
-    Networks lie in a radix tree where each holds its own rules and those of all networks around it.
+    Each part of a match maps a value to the set of rules that accept it, stored as the bits of an integer. A
+    look-up intersects these sets, and the lowest bit of the result is the first rule that matches. Networks
+    are kept in radix trees, where each has its own rules and those of all networks that contain it.
     """
 
     def __init__(self, routes: Routes) -> None:
@@ -49,59 +50,64 @@
         self._tenants = _Part(rules, lambda match: match.tenants)
         self._keys = _KeyPart(rules)
         self._networks = _NetworkPart(rules)
-        self._first = sum(1 << n for n, rule in enumerate(rules) if rule.match.retry is not True)
-        self._resent = sum(1 << n for n, rule in enumerate(rules) if rule.match.retry is not False)
+        self._rules_if_first = sum(1 << n for n, rule in enumerate(rules) if rule.match.retry is not True)
+        self._rules_if_resent = sum(1 << n for n, rule in enumerate(rules) if rule.match.retry is not False)
 
     def find(self, subject: Subject) -> tuple[Rule, Reach | None] | None:
-        """The first rule that matches, and what it leaves; None where no rule does."""
-        left = self._all & (self._resent if subject.resent else self._first)
-        left &= self._classes.of(subject.request_class)
-        if left:
-            left &= self._regions.of(subject.region) & self._tenants.of(subject.tenant)
-        if left:
-            left &= self._keys.of(subject.key)
-        if left:
-            left &= self._networks.of(subject.client)
-        if not left:
+        """Returns the first rule that matches and the reach it allows, or None if no rule matches."""
+        candidates = self._all & (self._rules_if_resent if subject.resent else self._rules_if_first)
+        candidates &= self._classes.of(subject.request_class)
+        if candidates:
+            candidates &= self._regions.of(subject.region) & self._tenants.of(subject.tenant)
+        if candidates:
+            candidates &= self._keys.of(subject.key)
+        if candidates:
+            candidates &= self._networks.of(subject.client)
+        if not candidates:
             return None
-        number = (left & -left).bit_length() - 1
+        number = (candidates & -candidates).bit_length() - 1
         return self.routes.rules[number], self.reaches[number]
 
 
 class _Part:
-    """The rules let through by a part that is compared as a whole."""
+    """The rules accepted by a part that is compared for equality. `any`: rules without this part."""
 
     def __init__(self, rules: Sequence[Rule], values: Callable[[Match], Iterable[str]]) -> None:
-        self.any, self.by_value = _gather(rules, values)
+        self.any, self.by_value = _rules_by_value(rules, values)
 
     def of(self, value: str | None) -> int:
+        """Returns the rules that accept a value, as a bit set."""
         return self.any if value is None else self.by_value.get(value, 0) | self.any
 
 
-def _gather(rules: Sequence[Rule], values: Callable[[Match], Iterable[str]]) -> tuple[int, dict[str, int]]:
-    free, by_value = 0, dict[str, int]()
+def _rules_by_value(
+        rules: Sequence[Rule], values: Callable[[Match], Iterable[str]],
+) -> tuple[int, dict[str, int]]:
+    """Returns the bit sets of the rules without values for a part, and by value of the others."""
+    unrestricted, by_value = 0, dict[str, int]()
     for number, rule in enumerate(rules):
-        named = list(values(rule.match))
-        if not named:
-            free |= 1 << number
-        for value in named:
+        values_of_rule = list(values(rule.match))
+        if not values_of_rule:
+            unrestricted |= 1 << number
+        for value in values_of_rule:
             by_value[value] = by_value.get(value, 0) | 1 << number
-    return free, by_value
+    return unrestricted, by_value
 
 
 class _KeyPart:
-    """Keys, whole or by what they begin with: either lets a rule through."""
+    """The rules accepted by a key, either by the complete key or by a prefix of it."""
 
     def __init__(self, rules: Sequence[Rule]) -> None:
-        _, self.whole = _gather(rules, lambda match: match.keys)
-        _, self.prefixes = _gather(rules, lambda match: match.key_prefixes)
-        self.any, _ = _gather(rules, lambda match: [*match.keys, *match.key_prefixes])
+        _, self.complete = _rules_by_value(rules, lambda match: match.keys)
+        _, self.prefixes = _rules_by_value(rules, lambda match: match.key_prefixes)
+        self.any, _ = _rules_by_value(rules, lambda match: [*match.keys, *match.key_prefixes])
         self.lengths = sorted({len(prefix) for prefix in self.prefixes})
 
     def of(self, key: str | None) -> int:
+        """Returns the rules that accept a key, as a bit set."""
         if key is None:
             return self.any
-        found = self.any | self.whole.get(key, 0)
+        found = self.any | self.complete.get(key, 0)
         for length in self.lengths:
             if length > len(key):
                 break
@@ -110,11 +116,12 @@
 
 
 class _NetworkPart:
-    """Networks of both families; a look-up is one longest match, which holds the rules of all around it."""
+    """The rules accepted by an IPv4 or IPv6 address, by one longest-prefix match."""
 
     def __init__(self, rules: Sequence[Rule]) -> None:
-        self.any, named = _gather(rules, lambda match: match.networks)
-        self.networks = Networks(named.items(), lambda wide, own: wide | own)
+        self.any, by_network = _rules_by_value(rules, lambda match: match.networks)
+        self.networks = Networks(by_network.items(), lambda wider, own: wider | own)
 
     def of(self, client: str | None) -> int:
+        """Returns the rules that accept a client's address, as a bit set."""
         return self.any | (self.networks.find(client) or 0)
