--- a/tests/edge.py
+++ b/tests/edge.py
@@ -1,4 +1,4 @@
-"""What the node's tests share: a case that starts the stand-ins and the real program, and ends them."""
+"""Base class for tests of a running node: starts stand-ins and the real program and stops them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EdgeCase(unittest.TestCase):
-    """Starts what a test needs and closes it afterwards."""
+    """Starts workers, discovery and nodes for a test and closes them afterwards."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -46,16 +46,16 @@
 
 
 def in_threads(calls: list[Callable[[], Any]]) -> Iterator[Any]:
-    """The results of calls made at the same time, in their order."""
+    """Makes calls concurrently; yields their results, or the exceptions raised, in their order."""
     results: list[Any] = [None] * len(calls)
 
-    def run(place: int) -> None:
+    def run(index: int) -> None:
         try:
-            results[place] = calls[place]()
+            results[index] = calls[index]()
         except Exception as error:
-            results[place] = error
+            results[index] = error
 
-    threads = [threading.Thread(target=run, args=(place,)) for place in range(len(calls))]
+    threads = [threading.Thread(target=run, args=(index,)) for index in range(len(calls))]
     for thread in threads:
         thread.start()
     for thread in threads:
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -1,6 +1,7 @@
-"""Sample documents: routes and expectations, what is changed of the settings, and each expectation's verdict.
+"""Sample documents with routes and expectations, changes to the settings, and each expectation's verdict.
 
-A verdict may be followed by what the report must name: paths of settings, or a border in milliseconds.
+For some expectations, a sample also has what the report must name: paths of settings, or the lag of the list
+in milliseconds from which the expectation fails.
 """
 
 from __future__ import annotations
@@ -19,24 +20,24 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """One document."""
+    """A document and the results expected of its check."""
 
     name: str
     rules: str
     expectations: dict[str, tuple[str, str, str]]  # name: when, claim, verdict
     named: dict[str, tuple[str, ...]] = field(default_factory=dict)  # what the report must name
-    borders: dict[str, int] = field(default_factory=dict)
-    settings: dict[str, Any] = field(default_factory=dict)  # of permissions
-    kinds: tuple[int, int, int] = (-1, -1, -1)  # the kind that runs each class
+    borders: dict[str, int] = field(default_factory=dict)  # by expectation, in ms
+    settings: dict[str, Any] = field(default_factory=dict)  # changes to the permissions
+    kinds: tuple[int, int, int] = (-1, -1, -1)  # `classKind` of the settings: the kind that runs each class
     fleet: str = FLEET
     quotas: str = ""
 
     def text(self) -> str:
-        said = [REGIONS, self.quotas, "routes {", self.rules, "}", "check {", ' settings "settings.json"',
+        lines = [REGIONS, self.quotas, "routes {", self.rules, "}", "check {", ' settings "settings.json"',
                 self.fleet, "}", "expectations {"]
         for name, (when, claim, _) in self.expectations.items():
-            said += [f'expect "{name}" {{', f"when {{\n{when}\n}}" if when else "", claim, "}"]
-        return "\n".join([*said, "}\n"])
+            lines += [f'expect "{name}" {{', f"when {{\n{when}\n}}" if when else "", claim, "}"]
+        return "\n".join([*lines, "}\n"])
 
 
 H, F, V = "holds", "fails", "vacuous"
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The second address: calls, maintenance of backend servers, standby."""
+"""The admin address of a node: commands, maintenance of backend servers, standby."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Calls(EdgeCase):
-    def test_each_call_has_one_line_and_what_is_wrong_a_reason(self) -> None:
+    def test_each_command_is_answered_with_one_line_and_each_error_with_a_reason(self) -> None:
         node = self.node(self.worker("s1"))
         self.assertEqual(node.call("status"), "ok ready; in maintenance: none\n")
         for line, reason in (
@@ -27,8 +27,8 @@
             self.assertIn(reason, answer)
         self.assertEqual(node.post("t")[0], 200)
 
-    def test_a_line_may_be_cut_anywhere_but_half_a_call_does_nothing(self) -> None:
-        """Guards against an id that was cut off: it may be another server's."""
+    def test_a_line_may_arrive_in_parts_but_an_incomplete_command_does_nothing(self) -> None:
+        """The beginning of a server's id may be the id of another server."""
         node = self.node(self.worker("s1"), self.worker("s12"))
         with socket.create_connection(("127.0.0.1", node.admin), timeout=LONG) as sock:
             for byte in b"maint-on s12\r\n":
@@ -40,7 +40,7 @@
             self.assertTrue(sock.recv(100).startswith(b"fail "))
         self.assertEqual(node.call("status"), "ok ready; in maintenance: s12\n")
 
-    def test_callers_that_stay_and_a_full_house_keep_nobody_from_calling(self) -> None:
+    def test_idle_connections_and_a_full_node_do_not_block_commands(self) -> None:
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
         node = self.node(self.worker("s1"), limits=limits)
         with contextlib.ExitStack() as stack:
@@ -52,7 +52,7 @@
             for _ in range(5):
                 self.assertEqual(node.call("status")[:8], "ok ready")
 
-    def test_an_address_that_is_taken_ends_the_start(self) -> None:
+    def test_the_start_fails_if_the_address_is_in_use(self) -> None:
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", free_port()))
             taken.listen()
@@ -62,19 +62,19 @@
 
 
 class Maintenance(EdgeCase):
-    def test_a_server_called_out_gets_nothing_until_it_is_called_back_once(self) -> None:
-        out, other = self.worker("s1"), self.worker("s2")
-        discovery = self.discovery(out, other)
-        node = self.node(out, other, discovery=discovery.address)
+    def test_a_server_in_maintenance_gets_no_jobs_until_maintenance_ends(self) -> None:
+        drained, other = self.worker("s1"), self.worker("s2")
+        discovery = self.discovery(drained, other)
+        node = self.node(drained, other, discovery=discovery.address)
         eventually(lambda: node.counters().get("discovery_messages", 0) >= 2)
         for _ in range(2):
             self.assertEqual(node.call("maint-on s1"), "ok maint-on s1\n")
-        before = len(out.jobs)
-        discovery.tell(out.row())  # news of it does not lift it
+        before = len(drained.jobs)
+        discovery.tell(drained.row())  # a list update does not end maintenance
         eventually(lambda: node.counters()["discovery_messages"] >= 3)
         for n in range(12):
             self.assertEqual(node.post(f"t{n}")[1], b"s2:t%d" % n)
-        self.assertEqual(len(out.jobs), before)
+        self.assertEqual(len(drained.jobs), before)
         node.call("maint-on s2")
         self.assertEqual((node.answers_ready(), node.call("status")[:15]), (503, "fail not ready:"))
         answers: list[Any] = []
@@ -87,7 +87,7 @@
         node.call("maint-off s2")
         self.assertEqual(node.call("status"), "ok ready; in maintenance: none\n")
 
-    def test_it_comes_back_cold_and_nothing_believed_before_counts(self) -> None:
+    def test_a_restarted_server_is_cold_and_starts_without_earlier_state(self) -> None:
         field = Recorder(settings(cold_us=9 * SECOND, cold_from=0.3), roster(2, zones="a"))
         for n in range(4):
             field.arrive(f"r{n}")
@@ -103,29 +103,30 @@
         self.assertTrue(all(token.holder is not one for t in field.dispatcher.tables.values()
                             for token in t.tokens))
         for request, number, _ in list(field.out()):
-            field.finish(request, number, api.Status.RESET)  # told late, of the process before
+            field.finish(request, number, api.Status.RESET)  # a late outcome of the previous process
         self.assertEqual((fresh.strikes, fresh.out), (0.0, [0.0, 0.0]))
 
-    def test_the_list_may_lie_behind_a_start_or_know_of_it(self) -> None:
+    def test_a_list_with_the_earlier_or_the_new_start_after_maintenance(self) -> None:
         table, nobody = ServerTable(), None
 
-        def told(launched: int) -> api.RosterEntry:
+        def change(launched: int) -> api.RosterEntry:
             entry = api.RosterEntry("w", launched_us=launched)
             return table.change("list", [(entry, nobody)]).entries[0]  # type: ignore[list-item]
 
-        told(5)
+        change(5)
         table.take_out("w")
-        self.assertEqual(told(5).lifecycle, api.Lifecycle.TERMINATING)
+        self.assertEqual(change(5).lifecycle, api.Lifecycle.TERMINATING)
         (back,) = table.bring_back("w", 70).entries
         self.assertEqual((back.lifecycle, back.launched_us), (api.Lifecycle.IN_SERVICE, 70))
-        self.assertEqual([told(5).launched_us, told(60).launched_us, told(60).launched_us], [70, 60, 60])
+        self.assertEqual(
+            [change(5).launched_us, change(60).launched_us, change(60).launched_us], [70, 60, 60])
         table.take_out("w")
-        told(90)
+        change(90)
         self.assertEqual(table.bring_back("w", 99).entries[0].launched_us, 90)
 
 
 class Standby(EdgeCase):
-    def test_clients_are_sent_away_with_their_answers_and_may_come_back(self) -> None:
+    def test_standby_closes_client_connections_after_their_answers_until_active(self) -> None:
         worker = self.worker("s1", lambda job, nth: "hold" if job == "open" else "done")
         node = self.node(worker)
         idle, busy = (http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG) for _ in range(2))
@@ -136,7 +137,7 @@
         eventually(lambda: any(row[0] == "open" for row in worker.jobs))
         self.assertEqual(node.call("standby"), "ok standby\n")
         self.assertEqual((node.answers_ready(), node.call("status")), (503, "fail not ready: standby\n"))
-        status, _, headers = node.post("late")  # one that is on its way is still served
+        status, _, headers = node.post("late")  # a request that arrives during standby is still served
         self.assertEqual((status, headers["connection"]), (200, "close"))
         assert idle.sock is not None
         self.assertEqual(idle.sock.recv(1), b"")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that cross, each forced by a stand-in at the right moment; docs/acceptance.md lists them."""
+"""Races between two events, each forced by a stand-in; docs/acceptance.md lists them."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from tests.test_pool import Idling
 
 ALLOWED = {**SETTINGS["permissions"], "probes": False}
-# What the module may not call off, the core still takes back while it has not been sent.
+# Without the dispatcher's permission to cancel, the core still cancels attempts that have not been sent.
 NO_CANCEL = {**SETTINGS, "permissions": {**ALLOWED, "cancel": False}}
 PLAIN = {**SETTINGS, "permissions": ALLOWED}
 
 
-class Crossing(EdgeCase):
+class RaceCase(EdgeCase):
     def door(self, uid: str = "s1", shut: bool = False) -> Door:
         door = Door(uid, shut)
         self.addCleanup(door.close)
@@ -47,17 +47,17 @@
         sock.sendall(data)
         return sock
 
-    def waits(self, node: Node, name: str, count: int = 1) -> None:
+    def wait_for_count(self, node: Node, name: str, count: int = 1) -> None:
         eventually(lambda: node.counters().get(name, 0) >= count)
 
-    def asked(self, *doors: Door) -> Peer:
-        """Whoever the node calls on next."""
+    def next_connection(self, *doors: Door) -> Peer:
+        """Returns the next connection of the node to any of the doors."""
         ready = select.select([door.sock for door in doors], [], [], LONG)[0]
         return next(door for door in doors if door.sock in ready).accept()
 
     @contextlib.contextmanager
-    def stopped(self, node: Node) -> Any:
-        """The node stands still: what happens meanwhile is all there when it looks."""
+    def paused(self, node: Node) -> Any:
+        """Pauses the node, so that all that happens meanwhile is pending when it continues."""
         node.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, node.process.pid, os.WSTOPPED | os.WNOWAIT)
         try:
@@ -66,8 +66,8 @@
             node.process.send_signal(signal.SIGCONT)
 
 
-class WhileTheConnectionComesUp(Crossing):
-    """An attempt waits for a connection that stands half open; what may happen meanwhile takes it back."""
+class CancelledWhileConnecting(RaceCase):
+    """An attempt waits for its connection and is cancelled by an event before it is established."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -79,18 +79,18 @@
         self.watch.request()
         self.watch.say(WATCH_HEAD)
         self.watch.chunk({"rev": 1, "all": True, "targets": [self.shut.row()]})
-        self.waits(self.running, "discovery_messages", 2)
+        self.wait_for_count(self.running, "discovery_messages", 2)
 
-    def handed_in(self) -> tuple[threading.Thread, list[Any]]:
+    def send_job(self) -> tuple[threading.Thread, list[Any]]:
         got: list[Any] = []
         thread = threading.Thread(target=lambda: got.append(self.running.post("t1", "once")))
         thread.start()
-        self.waits(self.running, "dispatched")
+        self.wait_for_count(self.running, "dispatched")
         return thread, got
 
-    def nothing_came(self) -> None:
-        """The door is opened: who had knocked is gone, without a byte."""
-        self.waits(self.running, "outcome_moot")
+    def assert_nothing_sent(self) -> None:
+        """Checks that the attempt was cancelled and sent no byte once connections are accepted."""
+        self.wait_for_count(self.running, "outcome_moot")
         self.assertNotIn("outcome_connect_failed", self.running.counters())
         self.shut.open()
         while self.shut.asked(0.0):
@@ -99,63 +99,63 @@
 
     def test_the_client_leaves(self) -> None:
         client = self.client(self.running, post("t1"))
-        self.waits(self.running, "dispatched")
+        self.wait_for_count(self.running, "dispatched")
         client.close()
-        self.waits(self.running, "client_left")
-        self.nothing_came()
+        self.wait_for_count(self.running, "client_left")
+        self.assert_nothing_sent()
 
-    def test_its_time_is_over(self) -> None:
+    def test_the_deadline_passes(self) -> None:
         client = self.client(self.running, post("t1").replace(b"20000m", b"300m"))
         self.assertIn(client.recv(65536)[:12], (b"HTTP/1.1 502", b"HTTP/1.1 503"))
-        self.nothing_came()
+        self.assert_nothing_sent()
 
-    def test_all_tries_of_one_run_leave(self) -> None:
-        """The first that leaves takes nothing back, for another try waits for the run; the last one does."""
+    def test_all_clients_of_one_run_leave(self) -> None:
+        """The run continues while a client waits for it and is cancelled when the last one leaves."""
         agent = self.door("discovery")
         document = 'repeats {\n    class "search" keep=(s)60\n}\n'
         node = self.among(self.shut, discovery=agent.address, edge=document,
                           settings={**NO_CANCEL, "discovery": "automatic"})
-        tries = [self.client(node, post(f"try{n}", "Idempotency-Key: k")) for n in range(2)]
-        self.waits(node, "repeats_joined")
-        self.waits(node, "dispatched")
-        tries[0].close()
-        self.waits(node, "client_left")
+        clients = [self.client(node, post(f"try{n}", "Idempotency-Key: k")) for n in range(2)]
+        self.wait_for_count(node, "repeats_joined")
+        self.wait_for_count(node, "dispatched")
+        clients[0].close()
+        self.wait_for_count(node, "client_left")
         self.assertNotIn("outcome_moot", node.counters())
-        tries[1].close()
+        clients[1].close()
         self.running = node
-        self.nothing_came()
+        self.assert_nothing_sent()
 
     def served_by_the_other(self, event: Callable[[], Any]) -> None:
-        thread, got = self.handed_in()
+        thread, got = self.send_job()
         event()
         thread.join(LONG)
         self.assertEqual(got[0][:2], (200, b"s2:t1"))
-        self.nothing_came()
+        self.assert_nothing_sent()
 
     def test_the_server_drains(self) -> None:
         self.served_by_the_other(lambda: self.watch.chunk(
             {"rev": 2, "all": False, "targets": [self.shut.row("DRAINING"), self.other.row()]}))
 
-    def test_the_server_is_gone(self) -> None:
+    def test_the_server_is_removed(self) -> None:
         self.served_by_the_other(
             lambda: self.watch.chunk({"rev": 2, "all": True, "targets": [self.other.row()]}))
 
-    def test_the_server_is_called_out_for_maintenance(self) -> None:
+    def test_the_server_enters_maintenance(self) -> None:
         def call() -> None:
             self.watch.chunk({"rev": 2, "all": False, "targets": [self.other.row()]})
-            self.waits(self.running, "discovery_messages", 3)
+            self.wait_for_count(self.running, "discovery_messages", 3)
             self.assertTrue(self.running.call("maint-on s1").startswith("ok"))
 
         self.served_by_the_other(call)
 
-    def test_the_server_has_started_anew(self) -> None:
-        """What was chosen for the warm process is no job for the cold one: it is chosen again."""
-        thread, _ = self.handed_in()
+    def test_the_server_has_restarted(self) -> None:
+        """A server chosen while it was warm is chosen anew after it has restarted and is cold."""
+        thread, _ = self.send_job()
         self.watch.chunk({"rev": 2, "all": False, "targets": [self.shut.row(boot_ms=1)]})
-        self.waits(self.running, "outcome_moot")
+        self.wait_for_count(self.running, "outcome_moot")
         self.shut.open()
         peer = self.shut.accept()
-        while True:  # the former attempt's connection ends without a byte, the new one's brings the job, once
+        while True:  # the first attempt's connection ends without a byte, the next one carries the job
             try:
                 peer.request()
                 break
@@ -166,19 +166,19 @@
         thread.join(LONG)
 
 
-class Leaving(Crossing):
-    def test_a_client_leaves_before_anybody_has_looked_at_its_request(self) -> None:
+class Leaving(RaceCase):
+    def test_a_client_leaves_before_its_request_is_read(self) -> None:
         worker = self.worker("s1")
         node = self.node(worker)
         ahead = [b"", post("junk") * 900]
-        with self.stopped(node):
+        with self.paused(node):
             for n, more in enumerate(ahead):
                 self.client(node, post(f"gone{n}") + more).close()
-        self.waits(node, "client_left_unheard", len(ahead))
+        self.wait_for_count(node, "client_left_unheard", len(ahead))
         self.assertEqual(node.post("t2")[0], 200)
         self.assertEqual([job[0] for job in worker.jobs], ["t2"])
 
-    def test_the_end_of_a_client_that_sent_much_ahead_is_seen(self) -> None:
+    def test_a_client_that_sent_much_ahead_leaves(self) -> None:
         door = self.door()
         node = self.among(door)
         for count, ahead in enumerate((20_000, 100_000, 1_000_000), 1):
@@ -187,26 +187,26 @@
             peer.request()
             client.sendall(b"x" * ahead)
             client.close()
-            self.waits(node, "client_left", count)
-            self.assertTrue(peer.ended())  # its attempt is called off
+            self.wait_for_count(node, "client_left", count)
+            self.assertTrue(peer.ended())  # its attempt is cancelled
 
-    def test_an_answer_outlives_what_was_sent_ahead_of_it(self) -> None:
-        """Beyond the bound nothing is heard; the answer ends the connection, and the rest resets it not."""
+    def test_an_answer_is_complete_in_spite_of_input_sent_ahead(self) -> None:
+        """Input over the limit is not read; closing after the answer must not reset the connection."""
         door = self.door()
         node = self.among(door)
         client = self.client(node, post("t1"))
         peer = door.accept()
         peer.request()
         client.sendall(post("ahead") + b"x" * 1_000_000)
-        self.waits(node, "sent_ahead_unheard")
-        with self.stopped(node):  # it will see the answer first, and close with these unread
+        self.wait_for_count(node, "sent_ahead_unheard")
+        with self.paused(node):  # it reads the server's answer first and closes with this input unread
             peer.done("t1", "whole")
             client.sendall(b"x" * 100_000)
         answer = b"".join(iter(lambda: client.recv(65536), b""))
         self.assertTrue(answer.endswith(b"whole"), answer)
         self.assertIn(b"Connection: close", answer)
 
-    def test_a_producer_that_pushed_much_ahead_leaves(self) -> None:
+    def test_a_producer_that_sent_much_ahead_leaves(self) -> None:
         door = self.door()
         port = free_port()
         node = self.among(door, edge=f'faktory {{\n    listen "127.0.0.1:{port}"\n}}\n')
@@ -217,16 +217,16 @@
         peer.request()
         client.sendall(b"x" * 500_000)
         client.close()
-        self.waits(node, "client_left")
+        self.wait_for_count(node, "client_left")
         self.assertTrue(peer.ended())
 
 
-class Answers(Crossing):
-    def test_an_answer_without_end_holds_up_nobody(self) -> None:
+class Answers(RaceCase):
+    def test_an_endless_answer_does_not_block_other_jobs(self) -> None:
         doors = self.door("s1"), self.door("s2")
         node = self.among(*doors)
         client = self.client(node, post("t1"))
-        peer = self.asked(*doors)
+        peer = self.next_connection(*doors)
         peer.request()
 
         def flood() -> None:
@@ -238,15 +238,15 @@
 
         thread = threading.Thread(target=flood, daemon=True)
         thread.start()
-        thread.join(LONG)  # the node ends it: it is over the bound
+        thread.join(LONG)  # the node closes the connection: the answer exceeds the limit
         self.assertFalse(thread.is_alive())
-        second = self.asked(*doors)  # safe to repeat
+        second = self.next_connection(*doors)  # safe to repeat
         second.request()
         second.done("t1", "after all")
         self.assertIn(b"after all", client.recv(65536))
 
     def test_a_stream_that_never_pauses_lets_others_run(self) -> None:
-        """The loop's own fairness: one reader is fed for ever, another task still has its turn."""
+        """Fairness of the loop: a reader with endless input must not keep another task from running."""
         faults: list[BaseException] = []
         loop = Loop(lambda _, error: faults.append(error))
         left, right = socket.socketpair()
@@ -259,7 +259,7 @@
             def try_read(self, most: int = 0) -> bytes:
                 nonlocal turns
                 turns += 1
-                assert turns < 1000, "nobody else has had a turn"
+                assert turns < 1000, "no other task has run"
                 return b"x" * 65536
 
         stream = Endless(loop, left, connected=True)
@@ -277,7 +277,7 @@
         loop.run()
         self.assertEqual(faults, [])
 
-    def test_a_refusal_whose_body_never_comes_is_a_refusal(self) -> None:
+    def test_a_refusal_without_its_body_is_a_refusal(self) -> None:
         door, other = self.door(), self.worker("s2", lambda job, nth: "done")
         agent = self.door("discovery")
         node = self.among(door, discovery=agent.address, settings={**PLAIN, "discovery": "automatic"})
@@ -288,12 +288,12 @@
         peer = door.accept()
         peer.request()
         watch.chunk({"rev": 2, "all": False, "targets": [other.row()]})
-        self.waits(node, "discovery_messages", 2)
+        self.wait_for_count(node, "discovery_messages", 2)
         peer.say(NEVER_RAN.replace(b"Content-Length: 0", b"Content-Length: 9"))
         self.assertIn(b"s2:t1", client.recv(65536))
 
-    def test_another_jobs_late_answer_serves_nobody(self) -> None:
-        """Guards rule 1: the second answer to a job comes when the next one is out on its connection."""
+    def test_a_late_answer_to_another_job_is_discarded(self) -> None:
+        """A second answer to a job arrives while the next job is in progress on the same connection."""
         one, two = self.door("s1"), self.door("s2")
         agent = self.door("discovery")
         node = self.among(one, discovery=agent.address, settings={**PLAIN, "discovery": "automatic"})
@@ -305,11 +305,11 @@
         peer.request()
         peer.done("t1", "one")
         self.assertIn(b"one", first.recv(65536))
-        threading.Event().wait(4 * REST.total_seconds())  # it may be used again by now
+        threading.Event().wait(4 * REST.total_seconds())  # the connection may be reused now
         second = self.client(node, post("t2"))
         peer.request()
         watch.chunk({"rev": 2, "all": False, "targets": [two.row()]})
-        self.waits(node, "discovery_messages", 2)
+        self.wait_for_count(node, "discovery_messages", 2)
         peer.done("t1", "one, once more")
         again = two.accept()
         again.request()
@@ -318,22 +318,22 @@
         self.assertEqual(node.counters()["answers_misplaced"], 1)
 
 
-class Resting(Idling):
-    def test_a_connection_that_carried_a_job_is_left_alone_for_a_moment(self) -> None:
-        """Guards against a second answer that comes late: one of a status alone names no job."""
-        self.pool.budget.sheds.clear()  # nor is it given up for another one here
+class ReuseDelay(Idling):
+    def test_a_connection_that_carried_a_job_is_not_reused_at_once(self) -> None:
+        """A late second answer that consists of a status alone can't be assigned to a job."""
+        self.pool.budget.sheds.clear()  # the connection must not be closed to open another
         connection: Any = self.idle(0, rest=REST)
-        self.assertIsNone(self.taken())
+        self.assertIsNone(self.reused())
         self.clock.time += REST
-        self.assertIs(self.taken(), connection)
+        self.assertIs(self.reused(), connection)
 
 
-class Unsafe(Crossing):
+class Unsafe(RaceCase):
     def once(self, node: Node) -> tuple[int, bytes]:
         return node.post("t1", "once")[:2]
 
-    def test_a_connection_that_comes_up_late_carries_no_second_attempt(self) -> None:
-        """Its limit is over, so that the job goes elsewhere; what then comes up is closed without a byte."""
+    def test_a_connection_established_late_carries_no_second_attempt(self) -> None:
+        """The job goes to another server after the connect timeout; the late connection is closed unused."""
         shut, other = self.door("s1", shut=True), self.worker("s2")
         agent = self.door("discovery")
         settings = {**PLAIN, "discovery": "automatic",
@@ -345,7 +345,7 @@
         got: list[Any] = []
         thread = threading.Thread(target=lambda: got.append(self.once(node)))
         thread.start()
-        self.waits(node, "dispatched")
+        self.wait_for_count(node, "dispatched")
         watch.chunk({"rev": 2, "all": False, "targets": [other.row()]})
         thread.join(LONG)
         self.assertEqual(got[0], (200, b"s2:t1"))
@@ -354,7 +354,7 @@
             self.assertTrue(shut.accept().ended())
         self.assertEqual([peer.read for peer in shut.peers], [b""] * len(shut.peers))
 
-    def test_a_reset_in_the_middle_of_the_work_is_the_end(self) -> None:
+    def test_a_reset_of_a_started_unsafe_job_is_final(self) -> None:
         door, other = self.door(), self.door("s2")
         node = self.among(door, other)
         results = in_threads([lambda: self.once(node), lambda: self._reset(door, other)])
@@ -362,32 +362,32 @@
         self.assertFalse(door.asked(0.0) or other.asked(0.0))
 
     def _reset(self, *doors: Door) -> None:
-        peer = self.asked(*doors)
+        peer = self.next_connection(*doors)
         peer.request()
         peer.say(WATCH_HEAD)
         peer.chunk({"id": "t1", "state": "started"})
         Peer.reset(peer)
 
 
-class Closing(Crossing):
-    def test_room_is_not_made_of_a_client_whose_request_has_come(self) -> None:
-        """The house gets full: the longest silent one has sent its request, and nobody has looked."""
+class Closing(RaceCase):
+    def test_a_client_whose_request_has_arrived_is_not_closed_for_another(self) -> None:
+        """The node is full and the client idle longest has sent a request that has not been read yet."""
         node = self.among(self.worker("s1"), limits={"cores": 1.0, "memory_mb": 192, "sockets": 64})
         first, *silent = [self.client(node) for _ in range(9)]
-        threading.Event().wait(0.4)  # all are old enough to be closed for another
-        with self.stopped(node):
-            late = [self.client(node) for _ in range(6)]  # these are seen first
+        threading.Event().wait(0.4)  # all are idle long enough to be closed for another
+        with self.paused(node):
+            late = [self.client(node) for _ in range(6)]  # accepted before the request is read
             first.sendall(post("t1"))
         self.assertIn(b"s1:t1", first.recv(65536))
         for sock in silent + late:
             sock.close()
 
-    def test_an_idle_client_of_too_many_is_not_closed_over_its_next_request(self) -> None:
-        """Sixteen may stand idle; one more is too many once the oldest has stood long enough."""
+    def test_an_excess_idle_client_with_a_new_request_is_not_closed(self) -> None:
+        """Of more than 16 idle clients the oldest is closed, unless it has sent a request."""
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
         node = self.among(self.worker("s1"), self.worker("s2"), limits=limits)
         closed, clients = -1, list[socket.socket]()
-        while node.counters().get("connections_closed_as_idle", 0) != closed:  # until none went meanwhile
+        while node.counters().get("connections_closed_as_idle", 0) != closed:  # until none was closed
             for client in clients:
                 client.close()
             closed = node.counters().get("connections_closed_as_idle", 0)
@@ -395,57 +395,57 @@
             for client in clients:
                 client.recv(65536)
         threading.Event().wait(0.4)
-        with self.stopped(node):
-            looker = self.client(node, b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")  # is seen first
+        with self.paused(node):
+            looker = self.client(node, b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")  # handled first
             clients[0].sendall(post("again"))
         self.assertIn(b"live", looker.recv(65536))
         self.assertIn(b":again", clients[0].recv(65536))
 
-    def test_a_class_made_stricter_between_head_and_body_binds(self) -> None:
+    def test_a_class_made_stricter_between_head_and_body_applies(self) -> None:
         worker = self.worker("s1")
         node = self.node(worker)
         client = self.client(node, post("t1", length=1))
         strict = {**SETTINGS, "classes": [request_class("search", "keyed")]}
         eventually(lambda: node.counters() is not None)
         node.reload(settings=strict)
-        self.waits(node, "reloads_settings")
+        self.wait_for_count(node, "reloads_settings")
         client.sendall(b"x")
         self.assertIn(b"Idempotency-Key is missing", client.recv(65536))
         self.assertEqual(worker.jobs, [])
 
 
-class Ending(Crossing):
-    def test_what_is_owed_at_the_end_is_answered_whole_though_more_lies_unread(self) -> None:
+class Ending(RaceCase):
+    def test_open_requests_are_answered_completely_at_the_end_in_spite_of_unread_input(self) -> None:
         door = self.door()
         short = {**PLAIN, "classes": [request_class("search", limit_ms=700)]}
         node = self.among(door, settings=short)
         client = self.client(node, post("t1").replace(b"20000m", b"9000m"))
         door.accept().request()
         node.process.send_signal(signal.SIGTERM)
-        self.waits(node, "terminations")
-        with self.stopped(node):  # until the very end is due: the answer goes out over what lies unread
+        self.wait_for_count(node, "terminations")
+        with self.paused(node):  # until the last moment: the answer is sent while input is unread
             client.sendall(post("ahead") * 8000)
             threading.Event().wait(last_moments(timedelta(milliseconds=700))[2].total_seconds())
         answer = b"".join(iter(lambda: client.recv(65536), b""))
         self.assertEqual(answer[:12], b"HTTP/1.1 502")
         self.assertEqual(node.process.wait(LONG), 0)
 
-    def test_who_waits_at_the_door_at_the_end_is_answered(self) -> None:
-        """A hundred connections with a request each, which the system has let in and nobody has seen."""
+    def test_connections_not_yet_accepted_at_the_end_are_answered(self) -> None:
+        """A hundred connections with a request each, which the kernel has accepted but the node has not."""
         door = self.door()
         node = self.among(door, settings={**PLAIN, "classes": [request_class("search", limit_ms=700)]})
         owed = self.client(node, post("t1").replace(b"20000m", b"9000m"))
         door.accept().request()
         node.process.send_signal(signal.SIGTERM)
-        self.waits(node, "terminations")
-        with self.stopped(node):
+        self.wait_for_count(node, "terminations")
+        with self.paused(node):
             threading.Event().wait(last_moments(timedelta(milliseconds=700))[2].total_seconds())
             late = [self.client(node, post(f"late{n}")) for n in range(100)]
         for client in [owed, *late]:
             self.assertIn(client.recv(65536)[:12], (b"HTTP/1.1 502", b"HTTP/1.1 503"))
         self.assertEqual(node.process.wait(LONG), 0)
 
-    def test_two_signals_at_once_and_again_lose_nothing(self) -> None:
+    def test_repeated_signals_lose_no_request(self) -> None:
         door = self.door()
         node = self.among(door)
         client = self.client(node, post("t1"))
@@ -468,7 +468,7 @@
 
 
 class Timers(unittest.TestCase):
-    def test_one_taken_back_in_the_turn_in_which_it_is_due_does_not_fire(self) -> None:
+    def test_a_timer_cancelled_in_the_turn_in_which_it_is_due_does_not_fire(self) -> None:
         loop, fired = Loop(lambda *_: None), list[str]()
         due = loop.now()
 
@@ -487,15 +487,15 @@
 
 
 class Descriptors(unittest.TestCase):
-    def test_an_event_of_a_closed_one_does_not_reach_the_next_with_its_number(self) -> None:
+    def test_an_event_of_a_closed_descriptor_does_not_reach_its_successor(self) -> None:
         loop = Loop(lambda *_: None)
-        heard: list[str] = []
+        received: list[str] = []
         pairs = [socket.socketpair() for _ in range(2)]
         fresh: list[socket.socket] = []
 
         class First:
             def on_ready(self, mask: int) -> None:
-                heard.append("first")
+                received.append("first")
                 if not fresh:
                     number = pairs[1][0].fileno()
                     loop.unwatch(number)
@@ -507,13 +507,13 @@
 
         class Next:
             def on_ready(self, mask: int) -> None:
-                heard.append("next")
+                received.append("next")
 
         loop.watch(pairs[0][0].fileno(), First(), urgent=True)
         loop.watch(pairs[1][0].fileno(), Next())
         for _, far in pairs:
             far.send(b"x")
         loop.run()
-        self.assertEqual(heard, ["first"])
+        self.assertEqual(received, ["first"])
         for sock in [*fresh, pairs[0][0], pairs[0][1], pairs[1][1]]:
             sock.close()
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports point down only: each layer uses what lies below it and nothing else of the package."""
+"""Dependencies between layers: each layer imports only from the layers below it."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 NO_IO = ("market", "selection", "membership", "routes", "quotas", "repeats", "expectations")
 IO = {"socket", "os", "io", "pathlib", "select", "time", "subprocess", "threading", "asyncio", "logging",
       "sys"}
-NODE_NEEDS = {"h11"}  # of what is installed, all that a node of the platform's may load
-WIRE_WORDS = ("socket", "http", "h11", "faktory", "epoll", "select")
+NODE_NEEDS = {"h11"}  # the only installed package that a node without optional features may load
+PROTOCOL_WORDS = ("socket", "http", "h11", "faktory", "epoll", "select")
 
 
-def imported(path: Path) -> set[str]:
+def imported_names(path: Path) -> set[str]:
     names = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.ImportFrom) and node.module:
@@ -49,17 +49,17 @@
             files = list((PACKAGE / layer).glob("*.py"))
             self.assertGreater(len(files), 1)
             for path in files:
-                for name in imported(path):
+                for name in imported_names(path):
                     if name.startswith("arrowfold"):
                         self.assertIn(name.split(".")[1], allowed, f"{path}: {name}")
 
-    def test_what_is_settled_apart_does_no_input_or_output(self) -> None:
+    def test_layers_without_input_or_output_do_none(self) -> None:
         for layer in NO_IO:
             for path in (PACKAGE / layer).glob("*.py"):
-                self.assertFalse({n.split(".")[0] for n in imported(path)} & IO, path)
+                self.assertFalse({n.split(".")[0] for n in imported_names(path)} & IO, path)
                 self.assertNotIn("open(", path.read_text(encoding="utf-8"), path)
 
-    def test_the_platforms_node_loads_only_what_it_needs(self) -> None:
+    def test_a_node_loads_only_the_packages_it_needs(self) -> None:
         code = ("import sys; from arrowfold.program import config, node; "
                 "print(*sorted({m.split('.')[0] for m in sys.modules}))")
         loaded = subprocess.run(
@@ -68,9 +68,9 @@
         extra = {name for name in loaded if name not in ours and not name.startswith(("_", "sitecustomize"))}
         self.assertLessEqual(extra, {"__editable___arrowfold_0_1_0_finder"})
 
-    def test_the_core_knows_no_wire(self) -> None:
+    def test_the_core_is_independent_of_protocols(self) -> None:
         for path in (PACKAGE / "routing").glob("*.py"):
             text = path.read_text(encoding="utf-8").lower()
-            for word in WIRE_WORDS:
+            for word in PROTOCOL_WORDS:
                 self.assertNotIn(word, text, path)
-            self.assertFalse({n for n in imported(path) if n.split(".")[0] in ("asyncio", "threading")})
+            self.assertFalse({n for n in imported_names(path) if n.split(".")[0] in ("asyncio", "threading")})
--- a/tests/test_repeats_node.py
+++ b/tests/test_repeats_node.py
@@ -1,4 +1,4 @@
-"""Repeats at a running node: runs on the stand-in workers counted against tries of clients."""
+"""Idempotency keys at a running node: runs on the stand-in worker compared with clients' requests."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
     def runs(self) -> list[str]:
         return [job for job, *_ in self.worker_.jobs]
 
-    def hold(self, node: Node, job: str, key: str = "k", name: str = "once") -> http.client.HTTPConnection:
-        """A try whose answer is not waited for yet."""
+    def send(self, node: Node, job: str, key: str = "k", name: str = "once") -> http.client.HTTPConnection:
+        """Sends a request without waiting for the answer."""
         connection = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
         self.addCleanup(connection.close)
         connection.request("POST", f"/{name}?key=repo", b"q", {
             "X-Trace-Id": job, "X-Qos": name, "X-Expires-In": "20000m", "Idempotency-Key": key})
         return connection
 
-    def test_tries_at_once_are_one_run_and_each_has_its_answer(self) -> None:
+    def test_concurrent_requests_of_a_key_share_one_run_and_its_answer(self) -> None:
         node = self.start(lambda job, nth: "hold")
-        first = self.hold(node, "t0")
+        first = self.send(node, "t0")
         eventually(lambda: len(self.runs()) == 1)
         results: list[Any] = []
         threads = [threading.Thread(target=lambda n=n: results.append(  # type: ignore[misc]
@@ -74,9 +74,9 @@
         self.assertEqual(node.post("t4", "record", Idempotency_Key="k2")[0], 200)
         self.assertEqual(self.runs(), ["t1", "t3", "t4"])
 
-    def test_the_run_goes_on_while_anyone_waits_and_no_longer(self) -> None:
+    def test_a_run_is_cancelled_when_the_last_waiting_client_leaves(self) -> None:
         node = self.start(lambda job, nth: "hold")
-        first, second = self.hold(node, "t1"), self.hold(node, "t2")
+        first, second = self.send(node, "t1"), self.send(node, "t2")
         eventually(lambda: node.counters().get("repeats_joined", 0) == 1)
         first.close()
         eventually(lambda: node.counters().get("client_left", 0) == 1)
@@ -84,13 +84,13 @@
         answer = second.getresponse()
         self.assertEqual((answer.status, answer.read()), (200, b"s1:t1"))
         self.worker_.release.clear()
-        alone = self.hold(node, "t3", "k2", "search")
+        alone = self.send(node, "t3", "k2", "search")
         eventually(lambda: len(self.runs()) == 2)
         alone.close()
         eventually(lambda: node.counters().get("outcome_cancelled", 0) == 1)
         self.worker_.release.set()
 
-    def test_a_try_whose_time_runs_out_fails_alone_and_a_later_one_has_its_own(self) -> None:
+    def test_a_request_that_passes_its_deadline_fails_alone_and_the_run_continues(self) -> None:
         node = self.start(lambda job, nth: "hold")
         calls = [lambda: node.post("t1", "once", Idempotency_Key="k", expires="300m"),
                  lambda: node.post("t2", "once", Idempotency_Key="k", expires="4000m")]
@@ -100,7 +100,7 @@
         self.assertEqual((late, body[:3]), (200, b"s1:"))
         self.assertEqual(len(self.runs()), 1)
 
-    def test_what_failed_is_run_again_only_where_its_class_permits(self) -> None:
+    def test_a_failed_request_is_run_again_only_if_its_class_permits(self) -> None:
         node = self.start(lambda job, nth: "failed" if job.startswith("bad") else "done")
         self.assertNotEqual(node.post("bad-1", "once", Idempotency_Key="k")[0], 200)
         status, _, headers = node.post("good-1", "once", Idempotency_Key="k")
@@ -112,23 +112,23 @@
         self.assertEqual(node.post("good-2", "search", Idempotency_Key="k")[0], 200)
         self.assertEqual(len(self.runs()), runs + 1)
 
-    def test_what_was_denied_and_may_have_run_is_not_run_after_its_window(self) -> None:
+    def test_a_denied_request_that_may_have_run_is_not_run_after_its_window(self) -> None:
         classes = [{**row, "windowUs": 300_000} if row["name"] == "record" else row
                    for row in SETTINGS["classes"]]
         node = self.start(lambda job, nth: "reset" if job == "t1" else "done",
                           settings={**SETTINGS, "classes": classes})
-        self.assertEqual(node.post("t1", "record", Idempotency_Key="k")[0], 503)  # a repeat is harmless yet
+        self.assertEqual(node.post("t1", "record", Idempotency_Key="k")[0], 503)  # may still be run again
         runs = len(self.runs())
         time.sleep(0.4)
         self.assertNotEqual(node.post("t2", "record", Idempotency_Key="k")[0], 200)
         self.assertEqual(len(self.runs()), runs)
 
-    def test_what_never_ran_is_no_run(self) -> None:
+    def test_a_request_that_never_ran_may_be_sent_again(self) -> None:
         node = self.start(lambda job, nth: 503 if job.startswith("full") else "done")
         self.assertNotEqual(node.post("full-1", "once", Idempotency_Key="k", expires="700m")[0], 200)
         self.assertEqual(node.post("good-1", "once", Idempotency_Key="k")[:2], (200, b"s1:good-1"))
 
-    def test_jobs_without_a_key_are_as_before(self) -> None:
+    def test_jobs_without_a_key_are_not_recorded(self) -> None:
         node = self.start()
         for n in range(3):
             self.assertEqual(node.post(f"t{n}")[:2], (200, b"s1:t%d" % n))
@@ -143,7 +143,7 @@
         self.assertEqual(client.push("t2", "record", custom=again, args=["x"]), "+OK")
         other = client.push("t3", "record", custom=again, args=["y"])
         self.assertRegex(other, "^-ERR failed: .*another request")
-        for job in ("u1", "u2"):  # of any class, where its client gives a key
+        for job in ("u1", "u2"):  # a class without required keys, too
             self.assertEqual(client.push(job, "once", custom=again, args=["x"]), "+OK")
         self.assertEqual(self.runs(), ["t1", "u1"])
         self.assertEqual(node.counters()["repeats_replayed"], 2)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""The route table against its plain reading; and routes at a running node, over both wires."""
+"""The compiled route table compared with its reference, and routes at a running node by HTTP and Faktory."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         assert (found[0] if found is not None else None) is first
 
 
-def test_what_an_action_leaves() -> None:
+def test_the_reach_of_each_action() -> None:
     regions = {"one": frozenset({"a", "b"}), "two": frozenset({"c"})}
     prefer = Action(prefer=("two", "one")).reach(regions)
     only = Action(only=("two", "one")).reach(regions)
@@ -65,7 +65,7 @@
     assert Action(deny=True).reach(regions) is None
 
 
-def test_networks_that_are_none() -> None:
+def test_invalid_networks_are_rejected() -> None:
     for text in ("", "10.0.0.0/33", "300.1.1.1", "10.0.0.1/8", "2001:db8::1/32", "here", "10.0.0"):
         try:
             read_network(text)
@@ -121,25 +121,26 @@
         return self.node(self.north, self.south, self.large,
                          edge=ROUTES.format(port=self.port, rules=rules), **options)
 
-    def mostly(self, node: Node, count: int, start: str, name: str) -> None:
-        """What is preferred gets most, in one batch or a later one.
+    def wait_for_majority(self, node: Node, count: int, start: str, name: str) -> None:
+        """Waits until the preferred server gets most jobs of a batch.
 
-        A job here runs for a millisecond: on a machine whose cores are all busy one that takes thirty makes
-        its server look as if it crawled, and for some seconds the preference gives way, as it should.
+        Jobs run for a millisecond here. On a busy machine, one that takes 30 ms makes its server appear slow,
+        and for some seconds the dispatcher rightly uses other servers in spite of the preference.
         """
         batches = count_from(1)
 
-        def got_most() -> bool:
+        def has_majority() -> bool:
             batch = f"{start}-{next(batches)}"
             runs = [node.post(f"{batch}-{n}", X_Region="north")[1] for n in range(count)]
             return sum(run.startswith(name.encode()) for run in runs) > count / 2
 
-        eventually(got_most)
+        eventually(has_majority)
 
     def served_by(self, node: Node, start: str, left: set[str]) -> None:
-        """A job that no rule holds for is taken by any server: by these, once the others are in maintenance.
+        """Checks that servers can serve a job that matches no rule, with all others in maintenance.
 
-        Without that, one after the other all go where the class's only token lies, which may be any server.
+        Without maintenance, successive jobs all go to the holder of the class's only market token, which may
+        be any server.
         """
         others = {"n1", "s1", "s2"} - left
         for name in others:
@@ -153,7 +154,7 @@
 
     def test_region_tenant_and_nothing_over_http(self) -> None:
         node = self.start()
-        self.mostly(node, 12, "north", "n1")
+        self.wait_for_majority(node, 12, "north", "n1")
         self.assertLessEqual(self.names(node, 12, "south", X_Region="south"), {"s1", "s2"})
         self.assertEqual(self.names(node, 12, "big", X_Customer="big"), {"s2"})
         self.served_by(node, "any-south", {"s1", "s2"})
@@ -164,12 +165,12 @@
         status, body, _ = node.post("twice", **{"X_Region": "north", "x_region": "south"})
         self.assertEqual((status, b"more than once" in body), (400, True))
 
-    def test_a_client_of_a_denied_network_is_told_when_to_come_back(self) -> None:
+    def test_a_client_of_a_denied_network_gets_a_retry_after(self) -> None:
         node = self.start()
         connection = http.client.HTTPConnection(
             "127.0.0.1", node.port, timeout=LONG, source_address=("127.0.0.9", 0))
         self.addCleanup(connection.close)
-        for job in ("one", "two"):  # and may ask again on the same connection
+        for job in ("one", "two"):  # the connection can be used again
             status, _, headers = node.post(job, connection=connection)
             self.assertEqual((status, headers["retry-after"]), (503, "1.250"))
         self.assertEqual(node.post("other")[0], 200)
@@ -177,7 +178,7 @@
         counted = node.counters()
         self.assertEqual((counted["routes_denied"], counted["answered_denied"]), (2, 2))
 
-    def test_a_denial_gives_no_advice_where_the_settings_allow_none(self) -> None:
+    def test_a_denial_has_no_retry_after_if_the_settings_do_not_allow_it(self) -> None:
         settings = {**SETTINGS, "permissions": {**SETTINGS["permissions"], "retryAfter": False}}
         node = self.start('rule "no" {\n class "search"\n deny retry-after=(s)1\n}', settings=settings)
         status, _, headers = node.post("one")
@@ -189,13 +190,13 @@
         self.addCleanup(client.close)
         for n in range(8):
             self.assertEqual(client.push(f"j{n}", custom={"region": "south"}), "+OK")
-        self.assertEqual(self.north.jobs, [])  # `only`: a preference may give way, see `mostly`
+        self.assertEqual(self.north.jobs, [])  # `only` is strict, `prefer` is not: see `wait_for_majority`
         self.assertRegex(client.push("again", custom={"second_try": True}), "^-ERR denied")
         self.assertRegex(client.push("odd", custom={"second_try": 1}), "^-ERR PUSH: custom.second_try")
         self.assertRegex(client.push("bad", custom={"region": 5}), "^-ERR PUSH: custom.region")
         self.assertEqual(node.counters()["routes_matched"], 9)
 
-    def test_a_preferred_region_is_left_when_it_has_no_room_and_an_only_one_is_not(self) -> None:
+    def test_a_full_preferred_region_is_left_but_not_an_only_region(self) -> None:
         node = self.start()
         self.assertEqual(node.call("maint-on n1"), "ok maint-on n1\n")
         self.assertLessEqual(self.names(node, 6, "north", X_Region="north"), {"s1", "s2"})
@@ -206,8 +207,8 @@
         self.assertEqual(status, 503)
         self.assertFalse(any(row[0] == "south" for row in self.north.jobs))
 
-    def test_sighup_changes_the_routes_whole_or_not_at_all(self) -> None:
-        """By a rule that holds whatever a server's load: a preference may give way on a busy machine."""
+    def test_sighup_replaces_all_routes_or_none(self) -> None:
+        """Checked with an `only` rule, since a preference is not strict on a busy machine."""
         node = self.start()
         self.assertLessEqual(self.names(node, 6, "before", X_Region="south"), {"s1", "s2"})
         good = ROUTES.format(port=self.port, rules=RULES.replace('only "south"', 'only "north"'))
@@ -218,7 +219,7 @@
             eventually(lambda before=before: node.counters().get("reloads", 0) > before)  # type: ignore[misc]
             if bad:
                 self.assertLessEqual(self.names(node, 4, f"bad{before}", X_Region="south"), {"s1", "s2"})
-        # An empty document is a good one without routes; the Faktory front can't go while running.
+        # An empty document is valid and has no routes; the Faktory listener can't be removed while running.
         eventually(lambda: node.counters().get("reloads_routes", 0) == 1)
         matched = node.counters()["routes_matched"]
         self.names(node, 4, "none", X_Region="south")
@@ -232,7 +233,7 @@
         self.assertIn('routes > rule "southern" > only: unknown region', log)
         self.assertIn("keys='faktory'", log)
 
-    def test_routes_and_the_answers_bytes_have_nothing_to_do_with_each_other(self) -> None:
+    def test_a_job_that_matches_no_rule_is_served(self) -> None:
         node = self.start()
         self.assertEqual(node.post("plain", X_Region="elsewhere")[0], 200)
         self.assertEqual(json.loads(node.get("/counters")[1]).get("routes_matched", 0), 0)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""The operators' terms of acceptance, one by one: lists, clients that leave, cold servers, crowds, starts."""
+"""The operators' acceptance criteria: lists, leaving clients, cold servers, idle clients, starts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from tests.edge import EdgeCase
 from tests.field import MS, SECOND, settings
 
-# The module would call again after seconds: what comes sooner is the watch's own doing.
+# The dispatcher would fetch the list again after 10 s: earlier calls are the watch's own.
 SLOW_TO_ASK: dict[str, Any] = {
     **SETTINGS, "contract": {**SETTINGS["contract"], "askWithinUs": 10_000_000}}
 SHED = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
@@ -36,47 +36,47 @@
     return {"rev": revision, "all": True, "targets": list(rows)}
 
 
-class Started(EdgeCase):
-    """Term 1 at a start: what discovery has had for 6 s counts as told from a process's first moment."""
+class FirstList(EdgeCase):
+    """Criterion 1 at a start: changes that discovery has had for 6 s apply from the start of the process."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.agent, self.gone, self.there = Door("discovery"), Door("s1"), self.worker("s2")
+        self.agent, self.removed, self.listed = Door("discovery"), Door("s1"), self.worker("s2")
         self.addCleanup(self.agent.close)
-        self.addCleanup(self.gone.close)
-        self.got: list[Any] = []
+        self.addCleanup(self.removed.close)
+        self.answers: list[Any] = []
 
-    def started(self, address: str, settings: dict[str, Any] = SLOW_TO_ASK) -> Node:
-        """A node whose list names only a server that has gone since."""
-        node = Node(self.folder, [self.gone.row()], discovery=address, settings=settings)
+    def start_node(self, address: str, settings: dict[str, Any] = SLOW_TO_ASK) -> Node:
+        """Starts a node whose configured list has only a server that no longer exists."""
+        node = Node(self.folder, [self.removed.row()], discovery=address, settings=settings)
         self.addCleanup(node.close)
         return node
 
-    def handed_in(self, node: Node) -> threading.Thread:
-        thread = threading.Thread(target=lambda: self.got.append(node.post("early")))
+    def send_job(self, node: Node) -> threading.Thread:
+        thread = threading.Thread(target=lambda: self.answers.append(node.post("early")))
         thread.start()
         eventually(lambda: node.counters().get("taken") == 1)
         return thread
 
-    def told(self, peer: Peer, node: Node, thread: threading.Thread) -> None:
+    def assert_served_from_the_list(self, peer: Peer, node: Node, thread: threading.Thread) -> None:
         self.assertEqual(node.answers_ready(), 503)
         peer.say(WATCH_HEAD)
-        peer.chunk(listing(7, self.there.row()))
+        peer.chunk(listing(7, self.listed.row()))
         thread.join(LONG)
-        self.assertEqual(self.got[0][:2], (200, b"s2:early"))
-        self.assertFalse(self.gone.asked())
+        self.assertEqual(self.answers[0][:2], (200, b"s2:early"))
+        self.assertFalse(self.removed.asked())
         self.assertNotIn("discovery_unheard", node.counters())
 
-    def test_a_slow_first_call_is_waited_for(self) -> None:
-        node = self.started(self.agent.address)
-        thread = self.handed_in(node)
+    def test_jobs_wait_for_a_slow_first_call(self) -> None:
+        node = self.start_node(self.agent.address)
+        thread = self.send_job(node)
         peer = self.agent.accept()
         self.assertIn("since=1", peer.request()[0])
-        self.told(peer, node, thread)
+        self.assert_served_from_the_list(peer, node, thread)
 
-    def test_first_calls_that_fail_are_repeated_before_anything_is_sent(self) -> None:
-        node = self.started(self.agent.address)
-        thread = self.handed_in(node)
+    def test_failed_first_calls_are_retried_before_any_job_is_sent(self) -> None:
+        node = self.start_node(self.agent.address)
+        thread = self.send_job(node)
         for way in (SHED, SHED, b"", WATCH_HEAD, SHED):
             peer = self.agent.accept()
             peer.request()
@@ -84,10 +84,10 @@
             peer.reset()
         peer = self.agent.accept()
         peer.request()
-        self.told(peer, node, thread)
+        self.assert_served_from_the_list(peer, node, thread)
 
-    def test_a_job_that_waits_for_the_list_ends_with_its_time_and_its_client(self) -> None:
-        node = self.started(self.agent.address)
+    def test_a_job_that_waits_for_the_list_ends_at_its_deadline_or_when_its_client_leaves(self) -> None:
+        node = self.start_node(self.agent.address)
         status, _, _ = node.post("short", expires="60m")
         self.assertEqual(status, 503)
         with socket.create_connection(("127.0.0.1", node.port), timeout=LONG) as client:
@@ -98,39 +98,39 @@
         peer = self.agent.accept()
         peer.request()
         peer.say(WATCH_HEAD)
-        peer.chunk(listing(7, self.there.row()))
+        peer.chunk(listing(7, self.listed.row()))
         eventually(lambda: node.answers_ready() == 200)
         self.assertEqual(node.counters().get("dispatched", 0), 0)
 
-    def test_a_node_that_can_not_reach_discovery_serves_from_its_list(self) -> None:
+    def test_a_node_that_cannot_reach_discovery_serves_from_its_configured_list(self) -> None:
         away = Door("nobody")
         away.close()
-        node = Node(self.folder, [self.there.row()], discovery=away.address, settings=SLOW_TO_ASK)
+        node = Node(self.folder, [self.listed.row()], discovery=away.address, settings=SLOW_TO_ASK)
         self.addCleanup(node.close)
         self.assertEqual(node.post("t1")[:2], (200, b"s2:t1"))
         self.assertEqual((node.answers_ready(), node.counters()["discovery_unheard"]), (200, 1))
 
-    def test_so_does_one_whose_discovery_never_answers_and_it_goes_on_asking(self) -> None:
-        node = Node(self.folder, [self.there.row()], discovery=self.agent.address, settings=SLOW_TO_ASK)
+    def test_a_node_whose_discovery_never_answers_serves_and_keeps_calling(self) -> None:
+        node = Node(self.folder, [self.listed.row()], discovery=self.agent.address, settings=SLOW_TO_ASK)
         self.addCleanup(node.close)
         self.assertEqual(node.post("t1")[:2], (200, b"s2:t1"))
         eventually(lambda: node.answers_ready() == 200)
         peer = self.agent.accept()
         peer.reset()
-        while "since" not in peer.read.decode():  # those that it has given up come first
+        while "since" not in peer.read.decode():  # connections that it has abandoned come first
             peer = self.agent.accept()
             peer.request()
             peer.say(WATCH_HEAD)
             try:
-                peer.chunk(listing(7, self.there.row("DRAINING")))
+                peer.chunk(listing(7, self.listed.row("DRAINING")))
                 eventually(lambda: node.answers_ready() == 503)
                 return
             except (OSError, AssertionError):
                 continue
 
-    def test_the_first_calls_of_a_fleet_that_starts_at_once_are_spread(self) -> None:
-        class StandingClock(Loop):
-            """A loop whose time stands still, so that spans between timers are exact."""
+    def test_the_first_calls_of_nodes_that_start_together_are_spread(self) -> None:
+        class FrozenLoop(Loop):
+            """A loop whose clock is constant, so that intervals between timers are exact."""
 
             def now(self) -> timedelta:
                 return timedelta(days=1)
@@ -144,11 +144,11 @@
             def await_list(self) -> None:
                 self.listed = False
 
-        def firsts(nodes: int) -> list[float]:
-            """When each node's first call is due, in seconds after the start."""
+        def first_calls(nodes: int) -> list[float]:
+            """Returns when each node's first call is due, in seconds after the start."""
             due = []
             for seed in range(60):
-                loop = StandingClock(lambda where, error: None)
+                loop = FrozenLoop(lambda where, error: None)
                 begun = loop.now()
                 one = watches.Discovery(
                     loop, ("127.0.0.1", 1), Core(nodes),  # type: ignore[arg-type]
@@ -158,16 +158,16 @@
                 loop.epoll.close()
             return sorted(due)
 
-        few, many, most = firsts(2), firsts(200), firsts(2700)
+        few, many, most = first_calls(2), first_calls(200), first_calls(2700)
         self.assertLess(few[-1], 0.1)
         self.assertGreater(many[45] - many[15], 0.1)
         self.assertLess(most[-1], watches.LONGEST_SPREAD.total_seconds())
         self.assertGreater(most[45] - most[15], 0.3)
 
 
-class Told(EdgeCase):
-    def test_discovery_is_asked_again_in_time_however_often_it_has_failed(self) -> None:
-        """Term 1: a change counts as told 6 s after it could be had, and a call may take 3 s."""
+class CallsAfterFailures(EdgeCase):
+    def test_discovery_is_called_again_in_time_after_any_number_of_failures(self) -> None:
+        """Criterion 1: a change must apply 6 s after it is available, and a call may take 3 s."""
         gaps: list[float] = []
         worker, there = self.worker("s1"), threading.Event()
 
@@ -196,13 +196,13 @@
         there.set()
         eventually(lambda: node.answers_ready() == 503)
         between = [later - sooner for sooner, later in pairwise(gaps)]
-        # No limit of the clock's: a machine that stands still can only stretch what lies between two calls.
+        # The longest gap is left out: a paused machine can only lengthen the time between two calls.
         self.assertLessEqual(sorted(between)[-2], 3.0)
 
 
-class Gone(EdgeCase):
-    def test_no_further_attempt_is_made_for_a_client_that_has_gone(self) -> None:
-        """Term 2, of a second attempt: the first is handed back unstarted once nobody waits for it."""
+class LeavingClient(EdgeCase):
+    def test_no_further_attempt_is_made_for_a_client_that_has_left(self) -> None:
+        """Criterion 2: the first attempt is returned unstarted after its client has left."""
         doors = [Door("s1"), Door("s2")]
         for door in doors:
             self.addCleanup(door.close)
@@ -219,7 +219,7 @@
         eventually(lambda: node.counters().get("client_left") == 1)
         peer.say(NEVER_RAN)
         eventually(lambda: node.counters().get("outcome_full", 0) == 1)
-        later = node.post("t2", expires="300m")  # what t1 might still do would come before this has ended
+        later = node.post("t2", expires="300m")  # another attempt of t1 would come before t2 ends
         self.assertIn(later[0], (502, 503))
         self.assertEqual(node.counters()["taken"], 2)
         waiting = [door.accept().request()[1]["x-trace-id"] for door in doors if door.asked()]
@@ -227,15 +227,15 @@
 
 
 class ColdServer(unittest.TestCase):
-    """Term 3: what all modules of a fleet send to one cold server, in virtual time, against its budget."""
+    """Criterion 3: what all dispatchers together send to one cold server, in virtual time, and its budget."""
 
     SIZE, WORK, COLD, WINDOW, FACTOR, FROM = 6.0, 200 * MS, 9 * SECOND, 1500 * MS, 3.0, 0.34
 
     def sends(self, nodes: int, rate: float) -> list[int]:
-        """When the cold server was sent something; `rate` jobs a second come to the fleet."""
+        """Returns when attempts were sent to the cold server, at `rate` jobs a second for all nodes."""
         conf = settings(fleet_size=nodes, cold_us=self.COLD, cold_from=self.FROM, overload_factor=self.FACTOR,
                         overload_for_us=self.WINDOW, may_probe=False, tells_start=True)
-        start, dice = 100 * SECOND, Random(nodes)
+        start, random = 100 * SECOND, Random(nodes)
         cold = api.RosterEntry("cold", "a", "std", 0, start)
         warm = api.RosterEntry("warm", "a", "std", 0, 0)
         fleet = [Dispatcher(conf, seed) for seed in range(nodes)]
@@ -255,7 +255,7 @@
                         due = api.AttemptEnded(action.request, number, "cold", api.Status.OK, self.WORK, True,
                                                api.LoadReport(free_slots=self.SIZE, held=0.0))
                         wait = self.WORK
-                    else:  # the warm one has never room
+                    else:  # the warm server is always full
                         due = api.AttemptEnded(action.request, number, "warm", api.Status.FULL, MS, False,
                                                api.LoadReport(free_slots=0.0, held=self.SIZE))
                         wait = MS
@@ -272,33 +272,33 @@
         for nth in range(int(rate * self.COLD / SECOND)):
             now = start + int(nth * SECOND / rate)
             arrival = api.Arrival(f"j{nth}", "safe", now + 3 * SECOND)
-            heapq.heappush(events, (now, nth, dice.randrange(nodes), arrival))
+            heapq.heappush(events, (now, nth, random.randrange(nodes), arrival))
         while events and events[0][0] < end:
             now, _, at, event = heapq.heappop(events)
             tell(now, at, event)
         return [when - start for when in sent]
 
-    def over(self, times: list[int]) -> float:
-        """By how much the fullest window went over N + 2 x root of N + 2; under 0 where none did."""
+    def excess(self, times: list[int]) -> float:
+        """Returns by how much the fullest window exceeds N + 2 * sqrt(N) + 2; negative if none does."""
         worst = -math.inf
         for first, since in enumerate(times):
             held = sum(1 for when in times[first:] if when < since + self.WINDOW)
-            warmth = self.FROM + (1 - self.FROM) * since / self.COLD  # what is sure when the window begins
+            warmth = self.FROM + (1 - self.FROM) * since / self.COLD  # at the beginning of the window
             most = self.FACTOR * self.SIZE * warmth * self.WINDOW / self.WORK
             worst = max(worst, held - (most + 2 * math.sqrt(most) + 2))
         return worst
 
-    def test_the_budget_binds_all_nodes_together(self) -> None:
+    def test_the_cold_budget_holds_for_all_nodes_together(self) -> None:
         for nodes in (2, 25, 200):
             times = self.sends(nodes, 300.0)
-            self.assertGreater(len(times), 60, f"{nodes} nodes hardly use it")
-            self.assertLess(self.over(times), 0, f"{nodes} nodes")
+            self.assertGreater(len(times), 60, f"{nodes} nodes hardly use the cold server")
+            self.assertLess(self.excess(times), 0, f"{nodes} nodes")
 
 
-class Crowded(EdgeCase):
-    """Term 4: idle clients fill the descriptors while discovery is away."""
+class ManyIdleClients(EdgeCase):
+    """Criterion 4: idle clients use up the descriptors while discovery is unavailable."""
 
-    def test_a_list_told_at_the_return_is_obeyed_and_the_second_address_answers(self) -> None:
+    def test_a_list_after_the_outage_is_applied_and_the_admin_address_answers(self) -> None:
         one, two = self.worker("s1"), self.worker("s2")
         port = free_port()
         first = Discovery([one.row(), two.row()], port=port)
@@ -312,7 +312,7 @@
         self.addCleanup(lambda: [sock.close() for sock in idle])
 
         def fill() -> None:
-            """As many clients as find room, each with a request behind it, and idle since."""
+            """Opens clients until the node is full; half send one request, and all are then idle."""
             for nth in range(400):
                 sock = socket.create_connection(("127.0.0.1", node.port), timeout=0.5)
                 idle.append(sock)
@@ -323,11 +323,11 @@
         self.assertLess(len(os.listdir(f"/proc/{node.process.pid}/fd")), 128)
         counted = node.counters()
         self.assertGreater(sum(counted.get(f"connections_{why}", 0) for why in (
-            "closed_for_room", "closed_as_idle", "no_room")), 20)  # the house was full over and over
+            "closed_for_room", "closed_as_idle", "no_room")), 20)  # the node was full repeatedly
         self.assertTrue(node.call("status").startswith("ok"))
         second = Discovery([one.row("DRAINING"), two.row()], port=port)
         self.addCleanup(second.close)
-        second.asked.get(timeout=LONG)  # the call found a descriptor
+        second.asked.get(timeout=LONG)  # the call got a descriptor
         eventually(lambda: "maintenance" in node.call("status"))
         answers = {node.post(f"t{nth}")[1] for nth in range(4)}
         self.assertEqual(answers, {b"s2:t%d" % nth for nth in range(4)})
