--- a/arrowfold/routing/session.py
+++ b/arrowfold/routing/session.py
@@ -17,7 +17,7 @@
 
 
 def to_us(span: timedelta) -> int:
-    """Converts to the dispatcher's unit of time, whole microseconds, rounding down."""
+    """Converts to the dispatcher's unit of time, integral microseconds, rounding down."""
     return span // MICROSECOND
 
 
@@ -268,12 +268,18 @@
 class Cancellable(Protocol):
     """A timer that can be cancelled."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Cancels the timer; has no effect once it has fired."""
+        ...
 
 
 class Clock(Protocol):
     """Time and timers, provided by the event loop or a test."""
 
-    def now(self) -> timedelta: ...
+    def now(self) -> timedelta:
+        """Returns the current time, since the Unix epoch in a running node."""
+        ...
 
-    def call_at(self, when: timedelta, call: Callable[[], None]) -> Cancellable: ...
+    def call_at(self, when: timedelta, call: Callable[[], None]) -> Cancellable:
+        """Schedules a call."""
+        ...
--- a/arrowfold/transport/budget.py
+++ b/arrowfold/transport/budget.py
@@ -13,51 +13,57 @@
     must be reached, so that many clients can't prevent this, nor the servers' connections exclude clients.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.clients, self.servers = most, 0, 0
+    def __init__(self, limit: int) -> None:
+        self.limit, self.clients, self.servers = limit, 0, 0
         self.sheds: list[Callable[[], bool]] = []  # each closes an idle connection if it can; in this order
 
-    def resize(self, most: int) -> None:
+    def resize(self, limit: int) -> None:
         """Changes the maximum and closes idle connections above it."""
-        self.most = most
-        while self.clients + self.servers > self.most and any(shed() for shed in self.sheds):
+        self.limit = limit
+        while self.clients + self.servers > self.limit and any(shed() for shed in self.sheds):
             pass
 
-    def most_clients(self) -> int:
+    def max_clients(self) -> int:
         """Returns the maximum for clients: between half and three quarters of all.
 
         In between, an eighth more than the servers' current connections is reserved for servers.
         """
-        return self.most - min(max(self.most // 4, self.servers + self.most // 8), self.most // 2)
+        return self.limit - min(max(self.limit // 4, self.servers + self.limit // 8), self.limit // 2)
 
     def can_open_server_connection(self) -> bool:
         """Returns whether one more connection to a server may be opened; closes an idle one if necessary."""
-        return self.clients + self.servers < self.most or any(shed() for shed in self.sheds)
+        return self.clients + self.servers < self.limit or any(shed() for shed in self.sheds)
 
 
 class ConnectionQuota(Protocol):
     """Limit on the connections that one listener may hold."""
 
-    def has_capacity(self) -> bool: ...
+    def has_capacity(self) -> bool:
+        """Returns whether one more connection may be accepted."""
+        ...
 
-    def take(self) -> None: ...
+    def take(self) -> None:
+        """Counts an accepted connection."""
+        ...
 
-    def release(self) -> None: ...
+    def release(self) -> None:
+        """Counts a closed connection."""
+        ...
 
 
 class ClientShare:
     """A listener's share of the maximum for clients."""
 
-    def __init__(self, budget: Budget, part: float) -> None:
-        self.budget, self.part, self.held = budget, part, 0
+    def __init__(self, budget: Budget, share: float) -> None:
+        self.budget, self.share, self.held = budget, share, 0
 
     def has_capacity(self) -> bool:
-        most = self.budget.most_clients()
-        return self.budget.clients < most and self.held < most * self.part
+        max_clients = self.budget.max_clients()
+        return self.budget.clients < max_clients and self.held < max_clients * self.share
 
     def crowded(self) -> bool:
         """Returns whether more than half of the share is in use."""
-        return self.held * 2 > self.budget.most_clients() * self.part
+        return self.held * 2 > self.budget.max_clients() * self.share
 
     def take(self) -> None:
         self.held += 1
@@ -71,11 +77,11 @@
 class Reserve:
     """A fixed number of connections for one listener, independent of all others."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+    def __init__(self, limit: int) -> None:
+        self.limit, self.held = limit, 0
 
     def has_capacity(self) -> bool:
-        return self.held < self.most
+        return self.held < self.limit
 
     def take(self) -> None:
         self.held += 1
--- a/arrowfold/transport/stream.py
+++ b/arrowfold/transport/stream.py
@@ -60,12 +60,12 @@
         if mask & ~select.EPOLLIN and self.writer is not None:
             self.writer.wake()
 
-    def try_read(self, most: int = READ_BYTES) -> bytes | None:
+    def try_read(self, max_bytes: int = READ_BYTES) -> bytes | None:
         """Returns received bytes, empty bytes at the end of the stream, or None if nothing is available."""
         if self.closed:
             raise Broken("connection closed locally")
         try:
-            return self.sock.recv(most)
+            return self.sock.recv(max_bytes)
         except (BlockingIOError, InterruptedError):
             return None
         except OSError as error:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -256,7 +256,7 @@
         turns = 0
 
         class Endless(Stream):
-            def try_read(self, most: int = 0) -> bytes:
+            def try_read(self, max_bytes: int = 0) -> bytes:
                 nonlocal turns
                 turns += 1
                 assert turns < 1000, "no other task has run"
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -53,7 +53,7 @@
 
     def reused(self) -> Any:
         """Returns the idle connection that the pool reuses, or None if it would open a new one."""
-        self.pool.budget.most = 0
+        self.pool.budget.limit = 0
         try:
             next(self.pool.take(self.clock.now()))
         except StopIteration as stop:
