--- a/arrowfold/transport/pool.py
+++ b/arrowfold/transport/pool.py
@@ -132,7 +132,8 @@
         It adapts to a server that closes idle connections sooner than agreed, since a request sent while the
         server closes the connection ends in a reset.
         """
-        return min(self.idle_span, min(self.idle_lifetimes) * 0.8) if self.idle_lifetimes else self.idle_span
+        return (
+            min(self.idle_span, min(self.idle_lifetimes) * 0.8) if self.idle_lifetimes else self.idle_span)
 
     def _sweep(self) -> None:
         self.sweep_scheduled = False
--- a/arrowfold/transport/stream.py
+++ b/arrowfold/transport/stream.py
@@ -85,7 +85,7 @@
         return False
 
     def read(self, until: timedelta | None = None) -> Steps[bytes]:
-        """Returns the next bytes, empty at the end of the stream; raises Late if `until` passes before."""
+        """Returns the next bytes, empty at the end of the stream; raises Late after `until`."""
         while True:
             if self.burst >= MAX_BURST_BYTES:
                 # A peer that sends without end must not keep other tasks and timers from running.
