--- a/arrowfold/routing/core.py
+++ b/arrowfold/routing/core.py
@@ -160,7 +160,7 @@
 
     def ready(self) -> bool:
         """Returns whether the list is valid and has at least one server in service."""
-        return self.listed and self.table.count_in_service() > 0
+        return self.listed and self.table.serving() > 0
 
     def holds(self, job_id: str) -> bool:
         """Returns whether a job of this id is open in this process or in another one of this node."""
--- a/arrowfold/routing/table.py
+++ b/arrowfold/routing/table.py
@@ -68,7 +68,7 @@
         """Returns a source's rows by server name."""
         return self._sources.get(source, {})
 
-    def count_in_service(self) -> int:
+    def serving(self) -> int:
         """Returns the number of servers that accept new work."""
         return sum(self._seen(entry).lifecycle is api.Lifecycle.IN_SERVICE
                    for table in self._sources.values() for entry, _ in table.values())
