--- a/arrowfold/transport/stream.py
+++ b/arrowfold/transport/stream.py
@@ -128,25 +128,25 @@
             finally:
                 self.writer = None
 
-    def linger(self, until: timedelta, quiet: timedelta) -> Steps[None]:
-        """Ends sending and discards further input until none has arrived for the time `quiet`.
+    def linger(self, until: timedelta, silence: timedelta) -> Steps[None]:
+        """Ends sending and discards further input until none has arrived for the time `silence`.
 
         Closing a connection with unread input resets it, and the client could lose the end of an answer.
         """
         try:
             self.sock.shutdown(socket.SHUT_WR)
-            left, heard = MAX_LINGER_BYTES, self.loop.now()
+            left, last_input = MAX_LINGER_BYTES, self.loop.now()
             turn = left - LINGER_BYTES_PER_TURN
-            while left > 0 and not self.closed and self.loop.now() < min(until, heard + quiet):
+            while left > 0 and not self.closed and self.loop.now() < min(until, last_input + silence):
                 try:
                     # With MSG_TRUNC the kernel discards the data without copying it.
                     count = self.sock.recv_into(_DISCARD_BUFFER, 0, socket.MSG_TRUNC)
                 except (BlockingIOError, InterruptedError):
-                    yield from self.wait_readable(min(until, heard + quiet))
+                    yield from self.wait_readable(min(until, last_input + silence))
                     continue
                 if not count:
                     return
-                left, heard = left - count, self.loop.now()
+                left, last_input = left - count, self.loop.now()
                 if left < turn:
                     turn = left - LINGER_BYTES_PER_TURN
                     yield from self.loop.turn()
