--- a/arrowfold/transport/budget.py
+++ b/arrowfold/transport/budget.py
@@ -1,4 +1,4 @@
-"""Who may hold how many of the process's descriptors."""
+"""Limits on the connections, and so the file descriptors, that each part of the process may hold."""
 
 from __future__ import annotations
 
@@ -7,53 +7,64 @@
 
 
 class Budget:
-    """Clients share what there is with connections to backend servers, which have a part kept for them.
+    """Divides a maximum number of connections between clients and backend servers.
 
-    Guards both against a crowd: clients that ask nothing give way when a server has to be reached.
+    A part is reserved for connections to servers, and idle connections of clients are closed when a server
+    must be reached, so that many clients can't prevent this, nor the servers' connections exclude clients.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most, self.clients, self.servers = most, 0, 0
-        self.sheds: list[Callable[[], bool]] = []  # who can give up what is idle, in this order
+    def __init__(self, limit: int) -> None:
+        self.limit, self.clients, self.servers = limit, 0, 0
+        # Called in this order; each closes an idle connection and returns whether there was one.
+        self.sheds: list[Callable[[], bool]] = []
 
-    def resize(self, most: int) -> None:
-        """Another limit from now on; what is idle beyond it is given up."""
-        self.most = most
-        while self.clients + self.servers > self.most and any(shed() for shed in self.sheds):
+    def resize(self, limit: int) -> None:
+        """Changes the maximum and closes idle connections above it."""
+        self.limit = limit
+        while self.clients + self.servers > self.limit and any(close() for close in self.sheds):
             pass
 
-    def most_clients(self) -> int:
-        """At least half, at most three quarters; in between, an eighth more than servers have is kept."""
-        return self.most - min(max(self.most // 4, self.servers + self.most // 8), self.most // 2)
+    def max_clients(self) -> int:
+        """Returns the maximum for clients: between half and three quarters of all.
 
-    def room_for_server(self) -> bool:
-        """Whether one more connection to a server may be opened, something idle given up if need be."""
-        return self.clients + self.servers < self.most or any(shed() for shed in self.sheds)
+        In between, an eighth more than the servers' current connections is reserved for servers.
+        """
+        return self.limit - min(max(self.limit // 4, self.servers + self.limit // 8), self.limit // 2)
 
+    def can_open_server_connection(self) -> bool:
+        """Returns whether one more connection to a server may be opened; closes an idle one if necessary."""
+        return self.clients + self.servers < self.limit or any(close() for close in self.sheds)
 
-class House(Protocol):
-    """How many connections one listener may hold."""
 
-    def has_room(self) -> bool: ...
+class ConnectionQuota(Protocol):
+    """Limit on the connections that one listener may hold."""
 
-    def take(self) -> None: ...
+    def has_capacity(self) -> bool:
+        """Returns whether one more connection may be accepted."""
+        ...
 
-    def release(self) -> None: ...
+    def take(self) -> None:
+        """Counts an accepted connection."""
+        ...
+
+    def release(self) -> None:
+        """Counts a closed connection."""
+        ...
 
 
 class ClientShare:
-    """One listener's part of what clients may hold."""
+    """A listener's share of the maximum for clients."""
 
-    def __init__(self, budget: Budget, part: float) -> None:
-        self.budget, self.part, self.held = budget, part, 0
+    def __init__(self, budget: Budget, share: float) -> None:
+        self.budget, self.share, self.held = budget, share, 0
 
-    def has_room(self) -> bool:
-        most = self.budget.most_clients()
-        return self.budget.clients < most and self.held < most * self.part
+    def has_capacity(self) -> bool:
+        max_clients = self.budget.max_clients()
+        return self.budget.clients < max_clients and self.held < max_clients * self.share
 
     def crowded(self) -> bool:
-        """Whether half of it is taken."""
-        return self.held * 2 > self.budget.most_clients() * self.part
+        """Returns whether more than half of the share is in use."""
+        return self.held * 2 > self.budget.max_clients() * self.share
 
     def take(self) -> None:
         self.held += 1
@@ -65,13 +76,13 @@
 
 
 class Reserve:
-    """A few descriptors for one listener alone, whatever the others hold."""
+    """A fixed number of connections for one listener, independent of all others."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+    def __init__(self, limit: int) -> None:
+        self.limit, self.held = limit, 0
 
-    def has_room(self) -> bool:
-        return self.held < self.most
+    def has_capacity(self) -> bool:
+        return self.held < self.limit
 
     def take(self) -> None:
         self.held += 1
