--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -161,7 +161,7 @@
         few, many, most = firsts(2), firsts(200), firsts(2700)
         self.assertLess(few[-1], 0.1)
         self.assertGreater(many[45] - many[15], 0.1)
-        self.assertLess(most[-1], watches.LONGEST_SPREAD.total_seconds())
+        self.assertLess(most[-1], watches.MAX_START_SPREAD.total_seconds())
         self.assertGreater(most[45] - most[15], 0.3)
 
 
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -104,9 +104,9 @@
 
     def test_the_latest_word_after_a_silence_comes_in_time(self) -> None:
         """By the page: what a silent watch misses is told 6 s after its last word."""
-        latest = watches.SILENCE_LIMIT + watches.SILENCE_SPREAD + watches.CALL_LIMIT
+        latest = watches.WATCH_IDLE_TIMEOUT + watches.WATCH_IDLE_TIMEOUT_JITTER + watches.CALL_TIMEOUT
         self.assertLessEqual(latest, timedelta(seconds=6))
-        self.assertGreater(watches.SILENCE_LIMIT, timedelta(seconds=2))  # an empty line comes every 2 s
+        self.assertGreater(watches.WATCH_IDLE_TIMEOUT, timedelta(seconds=2))  # an empty line comes every 2 s
 
 
 class Pushed(Watches):
