--- a/arrowfold/protocol/front.py
+++ b/arrowfold/protocol/front.py
@@ -1,4 +1,4 @@
-"""The platform's front: HTTP/1.1 clients hand in jobs by POST and wait for the answer."""
+"""HTTP/1.1 front end: clients submit jobs by POST and wait for the answer."""
 
 from __future__ import annotations
 
@@ -22,89 +22,106 @@
 from arrowfold.transport.loop import ZERO, Loop, Steps
 from arrowfold.transport.stream import Address, Broken, Late, Listener, Stream
 
-IDLE_LIMIT = timedelta(seconds=75)  # between two requests
-FIRST_LIMIT = timedelta(milliseconds=2700)  # from accept to the first request's last byte
-REQUEST_LIMIT = timedelta(milliseconds=2700)  # from a later request's first byte to its last
-SHORTEST_IDLE = timedelta(milliseconds=250)  # however many there are
-WRITE_LIMIT = timedelta(seconds=5)
-LAST_LINGER = timedelta(milliseconds=700)  # for what was sent ahead of an answer that ends the connection
-STILL_WRITES = timedelta(milliseconds=600)  # since its last byte
-STANDBY_AFTER = timedelta(milliseconds=500)  # clients' new connections have stopped by then
-STANDBY_STEP = timedelta(milliseconds=100)
-LINGER_LIMIT = timedelta(milliseconds=5500)  # from accept, for a client that still sends
-LINGER_QUIET = timedelta(milliseconds=700)  # for one that sends nothing more
-MOST_ID = 200
-LONGEST_WAIT = timedelta(hours=1)
-OVER_QUOTA = 429
-CONFLICT = 422
-_STATUS = {Verdict.SERVED: 200, Verdict.DENIED: 503, Verdict.FAILED: 502}
+IDLE_TIMEOUT = timedelta(seconds=75)  # between two requests
+FIRST_REQUEST_TIMEOUT = timedelta(milliseconds=2700)  # from accept to the first request's last byte
+REQUEST_TIMEOUT = timedelta(milliseconds=2700)  # from a later request's first byte to its last
+MIN_IDLE_TIME = timedelta(milliseconds=250)  # idle connections younger than this are not closed
+WRITE_TIMEOUT = timedelta(seconds=5)
+FINAL_LINGER = timedelta(milliseconds=700)  # to read pipelined bytes after the last answer, before closing
+ACTIVE_WRITE_TIME = timedelta(milliseconds=600)  # a partial request counts as being sent for so long
+STANDBY_CLOSE_DELAY = timedelta(milliseconds=500)  # clients have stopped opening connections by then
+STANDBY_CLOSE_INTERVAL = timedelta(milliseconds=100)
+ERROR_LINGER_LIMIT = timedelta(milliseconds=5500)  # after an error: from accept, if the client still sends
+ERROR_LINGER_IDLE = timedelta(milliseconds=700)  # after an error: if the client sends nothing more
+MAX_ID_CHARS = 200
+MAX_WAIT = timedelta(hours=1)
+STATUS_OVER_QUOTA = 429
+STATUS_CONFLICT = 422
+_STATUSES = {Verdict.SERVED: 200, Verdict.DENIED: 503, Verdict.FAILED: 502}
 PAGES = ("/health/ready", "/health/live", "/counters")
-_UNITS = {"m": timedelta(milliseconds=1), "u": timedelta(microseconds=1)}
-_SPAN = re.compile(r"[0-9]{1,15}(?:[.][0-9]{1,9})?[mu]")
+_DURATION_UNITS = {"m": timedelta(milliseconds=1), "u": timedelta(microseconds=1)}
+_DURATION = re.compile(r"[0-9]{1,15}(?:[.][0-9]{1,9})?[mu]")
 Check = Callable[[Request], None]
 
 
-def read_span(text: str) -> timedelta:
-    """A number above zero and a unit: `480m` or `480000u`."""
-    if not _SPAN.fullmatch(text) or not float(text[:-1]):
+def parse_duration(text: str) -> timedelta:
+    """Parse a positive number with a unit: `480m` (ms) or `480000u` (µs). Capped at MAX_WAIT.
+
+    ValueError if the text has another form.
+    """
+    if not _DURATION.fullmatch(text) or not float(text[:-1]):
         raise ValueError(text)
-    return min(min(float(text[:-1]), 1e12) * _UNITS[text[-1]], LONGEST_WAIT)
+    return min(min(float(text[:-1]), 1e12) * _DURATION_UNITS[text[-1]], MAX_WAIT)
 
 
 class Stage(Enum):
-    """Where a connection stands; its value is how old it must be to be closed for another, if it may."""
+    """State of a connection.
+
+    The value is the minimum time in the state before the connection may be closed to free capacity for a new
+    one, None if it may not be. The order is the order in which connections are closed.
+    """
 
-    SILENT = timedelta(milliseconds=150)  # connected, and not a byte came
-    LEAVING = timedelta(milliseconds=300)  # has had its error
-    LOOKING = timedelta(milliseconds=100)  # idle, and has asked for pages only
-    HALF = timedelta(milliseconds=1000)  # a part of a request has come; counted from its last byte
-    IDLE = timedelta(seconds=10)  # idle, and has handed in jobs
-    OWED = None  # never closed: an answer is owed
+    NO_DATA = timedelta(milliseconds=150)  # connected, no byte received
+    LINGERING = timedelta(milliseconds=300)  # an error was answered; reading what the client still sends
+    IDLE_PAGES = timedelta(milliseconds=100)  # idle, has requested status pages only
+    PARTIAL_REQUEST = timedelta(milliseconds=1000)  # a request is partly received; counted from its last byte
+    IDLE_JOBS = timedelta(seconds=10)  # idle, has submitted jobs
+    ANSWER_DUE = None  # an answer is due
 
 
-_SHED_FIRST = list(Stage)
+_CLOSE_ORDER = list(Stage)
 
 
 class Connection(Waiting):
-    """One client's connection."""
+    """One client's connection: its state and the bytes that it holds in memory."""
 
-    __slots__ = ("accepted", "ahead", "fresh", "held", "rest", "side", "since", "stage")
+    __slots__ = ("accepted", "body_bytes", "idle_stage", "is_first_request", "pipelined_bytes", "side",
+                 "stage", "stage_since")
 
     def __init__(self, side: ServerSide, now: timedelta) -> None:
         super().__init__()
-        self.side, self.accepted, self.fresh = side, now, True
-        self.stage, self.since = Stage.SILENT, now
-        self.rest = Stage.LOOKING  # where it stands between two requests
-        self.held = 0  # bytes of a body that it holds here
-        self.ahead = 0  # and of what its client sent ahead
+        self.side, self.accepted, self.is_first_request = side, now, True
+        self.stage, self.stage_since = Stage.NO_DATA, now
+        self.idle_stage = Stage.IDLE_PAGES  # its stage between two requests
+        self.body_bytes = 0  # of the request body
+        self.pipelined_bytes = 0  # sent by the client before its current answer
 
     def enter(self, stage: Stage, now: timedelta) -> None:
-        self.stage, self.since = stage, now
+        """Change to a stage."""
+        self.stage, self.stage_since = stage, now
 
-    def unchanged(self) -> timedelta:
-        """Since when it stands as it does. Guards slow writers against those who stopped half way."""
-        return self.side.heard if self.stage is Stage.HALF else self.since
+    def last_progress(self) -> timedelta:
+        """Returns the time of the last progress.
+
+        Guards slow writers: a partial request counts from its last byte, not from its first.
+        """
+        return self.side.last_received if self.stage is Stage.PARTIAL_REQUEST else self.stage_since
 
 
 class Front:
-    """Listens for clients, reads their jobs, and writes their answers."""
+    """Listens for clients, reads their jobs and writes their answers.
+
+    `share` is this listener's part of the connections that clients may hold, `max_held_bytes` the bound on
+    all request bodies and pipelined data, `max_idle` the number of idle connections that are kept.
+    """
 
     def __init__(
             self, loop: Loop, address: Address, core: Core, classes: dict[str, api.RequestClass],
-            budget: Budget, share: float, most_held: int, most_idle: int, counters: Counter[str],
+            budget: Budget, share: float, max_held_bytes: int, max_idle: int, counters: Counter[str],
             check: Check | None = None, sock: socket.socket | None = None,
     ) -> None:
         self.loop, self.core, self.classes, self.counters, self.check = loop, core, classes, counters, check
         self.connections: set[Connection] = set()
         self.draining = self.leaving = self.finishing = self.standby = False
-        self.starting, self.retired, self.sending_away = True, False, False
+        self.starting, self.retired, self.is_closing_idle = True, False, False
         self.last_job = loop.now()
-        self.held, self.most_held = 0, most_held  # bytes of all bodies
-        self.idle: dict[Connection, None] = {}  # those between two jobs, the longest idle first
-        self.most_idle = most_idle
-        self.house = ClientShare(budget, share)
-        self.listener = Listener(loop, address, self.house, self._accepted, self._make_room, sock=sock)
-        budget.sheds.append(self._make_room)
+        self.held_bytes, self.max_held_bytes = 0, max_held_bytes  # of all bodies and pipelined data
+        self.idle_connections: dict[Connection, None] = {}  # those between two jobs, the longest idle first
+        self.max_idle = max_idle
+        self.client_share = ClientShare(budget, share)
+        self.listener = Listener(
+            loop, address, self.client_share, self._accepted, self._free_connections, sock=sock)
+        budget.sheds.append(self._free_connections)
 
     # --- connections -----------------------------------------------------------------------------------
 
@@ -114,119 +131,124 @@
         self.connections.add(connection)
         connection.task = self.loop.spawn(self._serve(connection), "client connection")
 
-    def _make_room(self) -> bool:
-        """Guards against clients that fill the house and ask nothing: the silent, then the idle ones go.
+    def _free_connections(self) -> bool:
+        """Close connections to free capacity; whether any was closed.
 
-        One that has just come may have a request on its way: it is left its time. Who is owed an answer
-        stays. Several go at once, so that a crowd does not cost a search for each.
+        Guards against clients that use up all connections without sending requests: those in the first stages
+        are closed first. New connections get some time, as a request may be on its way. Connections whose
+        answer is due stay. Several are closed at once, to avoid a search per new client in a crowd.
         """
         now = self.loop.now()
-        may_go = [c for c in self.connections
-                  if c.stage.value is not None and now - c.unchanged() >= c.stage.value]
-        may_go.sort(key=lambda c: (_SHED_FIRST.index(c.stage), c.unchanged()))
-        most = max(1, len(self.connections) // 8)
-        # Guards a request that has come, and whose connection's turn has not: it is no longer silent or idle.
-        gone = list(islice((c for c in may_go if c.stage is Stage.LEAVING or c.side.stream.quiet()), most))
-        for connection in gone:
+        closable = [c for c in self.connections
+                  if c.stage.value is not None and now - c.last_progress() >= c.stage.value]
+        closable.sort(key=lambda c: (_CLOSE_ORDER.index(c.stage), c.last_progress()))
+        max_closed = max(1, len(self.connections) // 8)
+        # Guards a request that has arrived and is not read yet: its connection is no longer idle.
+        closing = list(islice(
+            (c for c in closable if c.stage is Stage.LINGERING or c.side.stream.quiet()), max_closed))
+        for connection in closing:
             self.counters["connections_closed_for_room"] += 1
-            self._end(connection)
-        return bool(gone)
+            self._close(connection)
+        return bool(closing)
 
-    def _end(self, connection: Connection) -> None:
-        """Close a connection, once; its task, if it is parked, finds it closed."""
+    def _close(self, connection: Connection) -> None:
+        """Close a connection, once; its task, if suspended, finds the stream closed."""
         connection.side.stream.close()
-        self._hold(connection, 0)
-        self._count_ahead(connection, 0)
-        self.idle.pop(connection, None)
+        self._count_body(connection, 0)
+        self._count_pipelined(connection, 0)
+        self.idle_connections.pop(connection, None)
         if connection in self.connections:
             self.connections.discard(connection)
             self.listener.released()
 
-    def _rest(self, connection: Connection) -> None:
-        """A connection is between two requests.
+    def _become_idle(self, connection: Connection) -> None:
+        """Mark a connection as idle; of too many idle ones, close those idle for longest.
 
-        Guards clients that leave connections behind and open new ones: those left use up what a client may
-        hold, and its next request finds no way in. Of too many, the longest idle go.
+        Guards clients that abandon connections and open new ones: abandoned connections use up the client's
+        share, and its next request would be refused.
         """
-        connection.enter(connection.rest, self.loop.now())
-        if connection.rest is Stage.IDLE:
-            self.idle[connection] = None
-        while len(self.idle) > self.most_idle:
-            oldest = next(iter(self.idle))
-            if self.loop.now() - oldest.since < SHORTEST_IDLE:
+        connection.enter(connection.idle_stage, self.loop.now())
+        if connection.idle_stage is Stage.IDLE_JOBS:
+            self.idle_connections[connection] = None
+        while len(self.idle_connections) > self.max_idle:
+            oldest = next(iter(self.idle_connections))
+            if self.loop.now() - oldest.stage_since < MIN_IDLE_TIME:
                 return
             if not oldest.side.stream.quiet():
-                del self.idle[oldest]  # its next request has come: its task is about to read it
+                del self.idle_connections[oldest]  # its task is about to read its next request
                 continue
             self.counters["connections_closed_as_idle"] += 1
-            self._end(oldest)
+            self._close(oldest)
 
     def busy(self, quiet: timedelta) -> bool:
-        """Whether an answer is owed, a request is being written, or a job came less than a while ago."""
+        """Whether an answer is due, a request is being received, or a job arrived less than `quiet` ago."""
         now = self.loop.now()
         return now - self.last_job < quiet or any(
-            c.stage is Stage.OWED or (c.stage is Stage.HALF and now - c.unchanged() < STILL_WRITES)
+            c.stage is Stage.ANSWER_DUE
+            or (c.stage is Stage.PARTIAL_REQUEST and now - c.last_progress() < ACTIVE_WRITE_TIME)
             for c in self.connections)
 
     def drain(self) -> None:
-        """A planned restart: go on serving, on what clients have and on what still comes."""
+        """Report as not ready ahead of a planned restart, but go on accepting and serving."""
         self.draining = True
 
     def stand_by(self, standby: bool) -> None:
-        """Send clients away, each after its answer, or take them again."""
+        """Enter standby, where connections are closed after their answers, or leave it."""
         self.standby = standby
-        self._send_away()
+        self._schedule_idle_close()
 
-    def _send_away(self) -> None:
-        if not self.sending_away and (self.standby or self.retired):
-            self.sending_away = True
-            self.loop.call_later(STANDBY_AFTER, self._end_idle)
+    def _schedule_idle_close(self) -> None:
+        if not self.is_closing_idle and (self.standby or self.retired):
+            self.is_closing_idle = True
+            self.loop.call_later(STANDBY_CLOSE_DELAY, self._close_idle)
 
     def start(self) -> None:
-        """Accept clients from now on."""
+        """Begin accepting clients."""
         self.starting = False
         self.listener.open()
 
     def retire(self) -> None:
-        """Another process of this node accepts in this one's place: serve what is here to its end."""
+        """Stop accepting, as another process of this node does so; serve the open connections' requests."""
         self.listener.close()
         self.draining = self.retired = True
-        self._send_away()
+        self._schedule_idle_close()
 
-    def _end_idle(self) -> None:
-        """End what is idle, while standby lasts; who has just come may have a request on its way."""
-        self.sending_away = self.standby or self.retired
-        if not self.sending_away:
+    def _close_idle(self) -> None:
+        """Close idle connections while in standby or retired; new ones may have a request on its way."""
+        self.is_closing_idle = self.standby or self.retired
+        if not self.is_closing_idle:
             return
         now = self.loop.now()
         for connection in list(self.connections):
-            idle = connection.stage in (Stage.SILENT, Stage.LOOKING, Stage.IDLE)
-            if idle and now - connection.since >= STANDBY_AFTER and connection.side.stream.quiet():
+            idle = connection.stage in (Stage.NO_DATA, Stage.IDLE_PAGES, Stage.IDLE_JOBS)
+            if idle and now - connection.stage_since >= STANDBY_CLOSE_DELAY \
+                    and connection.side.stream.quiet():
                 self.counters["connections_sent_away"] += 1
-                self._end(connection)
-        self.loop.call_later(STANDBY_STEP, self._end_idle)
+                self._close(connection)
+        self.loop.call_later(STANDBY_CLOSE_INTERVAL, self._close_idle)
 
     def leave(self) -> None:
-        """The end is near: clients move away, each once it has its answer."""
+        """Prepare to end: close idle connections now and the others after their answers."""
         self.leaving = True
         for connection in list(self.connections):
-            idle = connection.stage in (Stage.SILENT, Stage.LOOKING, Stage.IDLE)
+            idle = connection.stage in (Stage.NO_DATA, Stage.IDLE_PAGES, Stage.IDLE_JOBS)
             if idle and connection.side.stream.quiet():  # else its request is answered first
-                self._end(connection)
+                self._close(connection)
 
     def finish(self) -> None:
-        """The process ends within moments: whoever still asks is denied at once, and may ask elsewhere."""
+        """End within moments: deny new requests at once, so that clients can retry elsewhere."""
         self.leaving = self.finishing = True
 
     def unsettled(self) -> bool:
-        """Whether an answer's last byte is still to go out, or somebody's request waits to be denied."""
+        """Whether an answer is still being written, or a request still waits to be answered."""
         known = len(self.connections)
-        self.listener.retry()  # the system has let in who was not taken in here yet
+        self.listener.retry()  # accepts connections that the kernel has queued
         return len(self.connections) > known or any(
-            c.stage in (Stage.OWED, Stage.HALF, Stage.LEAVING) or not c.side.stream.quiet()
+            c.stage in (Stage.ANSWER_DUE, Stage.PARTIAL_REQUEST, Stage.LINGERING) or not c.side.stream.quiet()
             for c in self.connections)
 
     def _serve(self, connection: Connection) -> Steps[None]:
+        """Serve a connection's requests until it ends."""
         side = connection.side
         try:
             more = True
@@ -234,114 +256,119 @@
                 try:
                     more = yield from self._serve_one(connection)
                 except BadRequest as error:
-                    # Guards against malformed, oversize and half requests: said once, then closed.
+                    # Guards against malformed, oversize and partial requests: answered once, then closed.
                     self.counters["bad_requests"] += 1
                     self.counters[f"bad_requests_{error.status}"] += 1
-                    yield from self._reply(side, error.status, _words(error), [], close=True)
-                    connection.enter(Stage.LEAVING, self.loop.now())
-                    until = max(connection.accepted + LINGER_LIMIT, self.loop.now() + LINGER_QUIET)
-                    yield from side.stream.linger(until, LINGER_QUIET)
+                    yield from self._reply(side, error.status, _error_body(error), [], close=True)
+                    connection.enter(Stage.LINGERING, self.loop.now())
+                    until = max(connection.accepted + ERROR_LINGER_LIMIT, self.loop.now() + ERROR_LINGER_IDLE)
+                    yield from side.stream.linger(until, ERROR_LINGER_IDLE)
                     return
-                yield from self.loop.turn()  # guards the others against requests sent ahead by the hundred
-            if side.overrun or side.sent_ahead() or not side.stream.quiet():
-                # Guards the last answer's bytes: closing over what was sent ahead would reset them.
-                connection.enter(Stage.LEAVING, self.loop.now())
-                yield from side.stream.linger(self.loop.now() + LAST_LINGER, LAST_LINGER)
+                yield from self.loop.turn()  # guards other clients against hundreds of pipelined requests
+            if side.overrun or side.has_pipelined() or not side.stream.quiet():
+                # Guards the last answer's bytes: closing with unread input would reset the connection.
+                connection.enter(Stage.LINGERING, self.loop.now())
+                yield from side.stream.linger(self.loop.now() + FINAL_LINGER, FINAL_LINGER)
         except (Broken, Late):
             self.counters["connections_broken"] += 1
         finally:
-            self._end(connection)
+            self._close(connection)
 
     def _serve_one(self, connection: Connection) -> Steps[bool]:
-        """One request from its first byte to its answer's last; whether the connection goes on."""
+        """Serve one request, from its first byte to its answer's last; whether the connection stays open."""
         side, now = connection.side, self.loop.now()
-        if not side.sent_ahead():
-            # A client may idle between two requests, but not before the first, nor dawdle within one.
+        if not side.has_pipelined():
+            # A client may be idle between two requests, but not before the first one or within one.
             try:
                 data = yield from side.stream.read(
-                    connection.accepted + FIRST_LIMIT if connection.fresh else now + IDLE_LIMIT)
+                    connection.accepted + FIRST_REQUEST_TIMEOUT if connection.is_first_request
+                    else now + IDLE_TIMEOUT)
             except Late:
                 self.counters["connections_silent"] += 1
                 return False
             side.feed(data)
         now = self.loop.now()
-        self.idle.pop(connection, None)
-        self._count_ahead(connection, len(side.ahead))
-        connection.enter(Stage.HALF, now)
-        until = connection.accepted + FIRST_LIMIT if connection.fresh else now + REQUEST_LIMIT
+        self.idle_connections.pop(connection, None)
+        self._count_pipelined(connection, len(side.pipelined))
+        connection.enter(Stage.PARTIAL_REQUEST, now)
+        until = connection.accepted + FIRST_REQUEST_TIMEOUT if connection.is_first_request \
+            else now + REQUEST_TIMEOUT
         try:
             request = yield from side.read_head(until)
             if request is None:
                 return False
-            # A fault in the head is answered before the body is read: it may be long, or never come.
+            # A fault in the head is answered before the body is read: the body may be long or never arrive.
             page = request.method in ("GET", "HEAD")
             job, wait = (None, ZERO) if page else self._read_job(request)
             cls = self.classes.get(job.request_class) if job is not None else None
-            yield from side.read_body(request, until, lambda size: self._hold(connection, size))
+            yield from side.read_body(request, until, lambda size: self._count_body(connection, size))
             if job is not None and self.classes.get(job.request_class) is not cls:
-                # Guards rule 2: new settings came between the head and the body, and a stricter class may ask
-                # for more of the head than the one under which it was read.
+                # Guards rule 2: the settings changed between the head and the body, and a stricter class may
+                # require more of the head than the class under which it was read.
                 job, wait = self._read_job(request)
         except Late as error:
             raise BadRequest(408, "the request did not come in time") from error
-        connection.enter(Stage.OWED, self.loop.now())
-        connection.fresh = False
+        connection.enter(Stage.ANSWER_DUE, self.loop.now())
+        connection.is_first_request = False
         if self.check is not None:
             self.check(request)
         if job is None:
-            status, body = self._page(urlsplit(request.target).path)
-            # Guards those with jobs: in a house that fills up, who only looks does not stay.
+            status, body = self._status_page(urlsplit(request.target).path)
+            # Guards clients with jobs: when connections run short, those for status pages are not kept open.
             more = yield from self._reply(
-                side, status, b"" if request.method == "HEAD" else body, [], close=self.house.crowded())
+                side, status, b"" if request.method == "HEAD" else body, [],
+                close=self.client_share.crowded())
         else:
-            self._not_open(job.id)
+            self._check_not_open(job.id)
             if self.finishing:
                 self.counters["denied_at_the_end"] += 1
-                return (yield from self._reply(side, _STATUS[Verdict.DENIED], b"denied: the end\n", []))
-            # Its time counts from its last byte.
+                return (yield from self._reply(side, _STATUSES[Verdict.DENIED], b"denied: the end\n", []))
+            # The deadline counts from the request's last byte.
             job = replace(job, deadline=self.loop.now() + wait, body=request.body, client=side.stream.peer)
-            connection.rest = Stage.IDLE
+            connection.idle_stage = Stage.IDLE_JOBS
             self.last_job = self.loop.now()
             more = yield from self._answer(connection, job)
-        self._hold(connection, 0)
+        self._count_body(connection, 0)
         if more:
-            self._rest(connection)
+            self._become_idle(connection)
         return more
 
-    def _look(self, connection: Connection) -> bool | None:
-        """Whether its client has gone; what it sends ahead is taken in as far as there is room for it."""
+    def _peer_gone(self, connection: Connection) -> bool | None:
+        """Whether the client has disconnected; None if it sends nothing. Buffers bounded pipelined data."""
         side = connection.side
-        heard = not side.overrun
-        gone = side.wait_gone(self.most_held - self.held)
-        self.counters["sent_ahead_unheard"] += heard and side.overrun
-        self._count_ahead(connection, len(side.ahead))
+        was_within_bounds = not side.overrun
+        gone = side.poll_disconnect(self.max_held_bytes - self.held_bytes)
+        self.counters["sent_ahead_unheard"] += was_within_bounds and side.overrun
+        self._count_pipelined(connection, len(side.pipelined))
         return gone
 
-    def _count_ahead(self, connection: Connection, size: int) -> None:
-        self.held += size - connection.ahead
-        connection.ahead = size
+    def _count_pipelined(self, connection: Connection, size: int) -> None:
+        """Set the pipelined bytes that a connection holds."""
+        self.held_bytes += size - connection.pipelined_bytes
+        connection.pipelined_bytes = size
 
-    def _hold(self, connection: Connection, size: int) -> None:
-        """Guards the memory: bodies that come slowly, or wait, may hold only their part of it."""
-        self.held += size - connection.held
-        connection.held = size
-        if size and self.held > self.most_held:
+    def _count_body(self, connection: Connection, size: int) -> None:
+        """Set the body bytes that a connection holds. Guards memory: 503 if all exceed the bound."""
+        self.held_bytes += size - connection.body_bytes
+        connection.body_bytes = size
+        if size and self.held_bytes > self.max_held_bytes:
             raise BadRequest(503, "too many bodies are held here: come back later")
 
     def _reply(
             self, side: ServerSide, status: int, body: bytes, headers: list[tuple[str, str]],
             close: bool = False,
     ) -> Steps[bool]:
+        """Write an answer; whether the connection stays open."""
         close = close or self.leaving or self.standby or self.retired or side.overrun
-        return (yield from side.write_answer(status, body, headers, close, self.loop.now() + WRITE_LIMIT))
+        return (yield from side.write_answer(status, body, headers, close, self.loop.now() + WRITE_TIMEOUT))
 
     # --- requests ----------------------------------------------------------------------------------------
 
     def _answer(self, connection: Connection, job: Job) -> Steps[bool]:
-        """Hand a job in and write its one answer."""
+        """Submit a job and write its answer; whether the connection stays open."""
         side = connection.side
         answer = yield from connection.hand_in(
-            self.loop, self.core, job, side.stream, lambda: self._look(connection))
+            self.loop, self.core, job, side.stream, lambda: self._peer_gone(connection))
         if answer is None:
             return False
         headers = []
@@ -352,11 +379,12 @@
         body = answer.body
         if answer.verdict is not Verdict.SERVED:
             body = f"{answer.verdict.value}{answer.reason and ': '}{answer.reason}\n".encode()
-        status = CONFLICT if answer.conflict else OVER_QUOTA if answer.over_quota else _STATUS[answer.verdict]
+        status = STATUS_CONFLICT if answer.conflict \
+            else STATUS_OVER_QUOTA if answer.over_quota else _STATUSES[answer.verdict]
         return (yield from self._reply(side, status, body, headers))
 
     def why_not_ready(self) -> str | None:
-        """What keeps the node from serving; None if nothing does."""
+        """Returns the reason why the node is not ready; None if it is."""
         if self.starting:
             return "it is starting"
         if self.draining:
@@ -367,8 +395,8 @@
             return "the list of backend servers has not come yet"
         return None if self.core.ready() else "no backend server is known that may serve"
 
-    def _page(self, path: str) -> tuple[int, bytes]:
-        """What is told about the node itself."""
+    def _status_page(self, path: str) -> tuple[int, bytes]:
+        """Returns status and body of a status page."""
         if path == "/health/ready":
             why = self.why_not_ready()
             return (200, b"ready\n") if why is None else (503, f"not ready: {why}\n".encode())
@@ -379,7 +407,7 @@
         raise BadRequest(404, f"no page {path!r}")
 
     def _read_job(self, request: Request) -> tuple[Job, timedelta]:
-        """The job that a POST's head hands in and how long its client waits, or what is wrong with it."""
+        """Returns the job described by a POST's head and its client's wait time; BadRequest if malformed."""
         headers = request.headers
         if request.method != "POST" or urlsplit(request.target).path in PAGES:
             raise BadRequest(405, f"method {request.method} is not served; jobs come by POST")
@@ -397,11 +425,11 @@
             raise BadRequest(400, f"header Idempotency-Key is missing; class {name!r} needs it")
         for header in ("X-Trace-Id", "Idempotency-Key"):
             text = headers.get(header.lower(), "")
-            if len(text) > MOST_ID or not text.isprintable() or " " in text:
+            if len(text) > MAX_ID_CHARS or not text.isprintable() or " " in text:
                 raise BadRequest(400, f"header {header} is no short word")
-        self._not_open(headers["x-trace-id"])
+        self._check_not_open(headers["x-trace-id"])
         try:
-            wait = read_span(headers["x-expires-in"])
+            wait = parse_duration(headers["x-expires-in"])
         except ValueError:
             said = headers["x-expires-in"][:40]
             raise BadRequest(
@@ -409,7 +437,7 @@
         account = headers.get("x-tenant")
         if self.core.quotas is not None and (fault := self.core.quotas.check(account)) is not None:
             raise BadRequest(400, f"header X-Tenant: {fault}")
-        props = self._props(headers.get("x-props", ""))
+        props = self._parse_props(headers.get("x-props", ""))
         keys = parse_qs(parts.query).get("key")
         job = Job(
             headers["x-trace-id"], name, ZERO, b"", keys[0] if keys else None,
@@ -419,13 +447,14 @@
             f"{request.method} {request.target}".encode())
         return job, wait
 
-    def _not_open(self, job_id: str) -> None:
-        """Guards an open session: its id belongs to the client that came first."""
+    def _check_not_open(self, job_id: str) -> None:
+        """Guards an open session: its id belongs to the client that submitted it first."""
         if self.core.holds(job_id):
             raise BadRequest(409, f"header X-Trace-Id: {job_id!r} is open already")
 
     @staticmethod
-    def _props(text: str) -> dict[str, float]:
+    def _parse_props(text: str) -> dict[str, float]:
+        """Parse the X-Props header, `name=number` pairs separated by commas."""
         props: dict[str, float] = {}
         for pair in filter(None, (part.strip() for part in text.split(","))):
             name, _, figure = pair.partition("=")
@@ -436,5 +465,5 @@
         return props
 
 
-def _words(error: BadRequest) -> bytes:
+def _error_body(error: BadRequest) -> bytes:
     return f"{error}\n".encode()
--- a/arrowfold/protocol/waiting.py
+++ b/arrowfold/protocol/waiting.py
@@ -1,4 +1,4 @@
-"""A client's wait for its answer, alike on every wire."""
+"""Submitting a job and waiting for its answer, for all client protocols."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from arrowfold.transport.loop import Loop, Steps, Task
 from arrowfold.transport.stream import Broken, Stream
 
-LOOKS = 16  # at what a client has sent ahead, before its job is taken in
+MAX_PIPELINED_READS = 16  # reads of pipelined data before a job is submitted
 
 
 class Waiting:
-    """One connection's place for the answer to the job that it has open."""
+    """Holds the answer to a connection's open job; base class of the connections."""
 
     __slots__ = ("answered", "task")
 
@@ -22,38 +22,43 @@
         self.task: Task | None = None
 
     def answer(self, answer: Answer) -> None:
+        """Take the job's answer from the core and resume the waiting task."""
         self.answered = answer
         if self.task is not None:
             self.task.wake()
 
     def hand_in(
-            self, loop: Loop, core: Core, job: Job, stream: Stream, peer_gone: Callable[[], bool | None],
+            self, loop: Loop, core: Core, job: Job, stream: Stream,
+            poll_disconnect: Callable[[], bool | None],
     ) -> Steps[Answer | None]:
-        """Hand a job to the core and wait; None if the client has gone, and nothing is owed any more."""
+        """Submit a job to the core and wait for its answer; None if the client disconnects.
+
+        `poll_disconnect` returns True after a disconnect, None if nothing is there to read.
+        """
         self.answered = None
-        # Guards servers against the job of a client that has left before anybody looked at it. Its end may
-        # lie behind more that it has sent.
-        for _ in range(LOOKS):
-            if (gone := _look(peer_gone)) is not False:
+        # Guards workers against the job of a client that has already disconnected. The end of its stream may
+        # follow pipelined data.
+        for _ in range(MAX_PIPELINED_READS):
+            if (gone := _is_gone(poll_disconnect)) is not False:
                 break
         if gone:
             core.counters["client_left_unheard"] += 1
             return None
         session = core.take(job, self)
         while self.answered is None:
-            gone = _look(peer_gone)
+            gone = _is_gone(poll_disconnect)
             if gone:
                 core.leave(session)
                 return None
             if self.answered is not None:
                 break
-            # Guards the others against a client that goes on sending: it has its turn, and then they have.
+            # Guards other clients against one that keeps sending: it reads once per turn of the event loop.
             yield from stream.wait_readable() if gone is None else loop.turn()
         return self.answered
 
 
-def _look(peer_gone: Callable[[], bool | None]) -> bool | None:
+def _is_gone(poll_disconnect: Callable[[], bool | None]) -> bool | None:
     try:
-        return peer_gone()
+        return poll_disconnect()
     except Broken:
         return True
