--- a/arrowfold/protocol/faktory.py
+++ b/arrowfold/protocol/faktory.py
@@ -1,7 +1,7 @@
-"""The Faktory front: producers push jobs and wait for their end, workers fetch them.
+"""Faktory front end: producers push jobs and wait for their results, workers fetch them.
 
-A PUSH is a session: +OK says that it was served, -ERR denied or -ERR failed that it was not. There is
-no disk here, so no queue outlives the call and none is promised.
+A PUSH is a session: its reply is +OK if the job was served, else -ERR denied or -ERR failed. Nothing is
+stored on disk, so a queued job does not outlive the producer's call.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     CommandError,
     CommandStream,
     Greeting,
-    bulk,
+    bulk_reply,
     error_reply,
     parse_object,
 )
@@ -29,8 +29,8 @@
     FaktoryWorker,
     PushedJob,
     Workers,
-    as_fields,
     result_bytes,
+    worker_fields,
 )
 from arrowfold.protocol.load import said_fetches
 from arrowfold.protocol.waiting import Waiting
@@ -40,19 +40,19 @@
 from arrowfold.transport.loop import Loop, Steps
 from arrowfold.transport.stream import Address, Broken, Late, Listener, Stream
 
-FETCH_BLOCK = timedelta(seconds=2)
-HELLO_LIMIT = timedelta(milliseconds=2700)  # from accept, as on the other front
-IDLE_LIMIT = timedelta(minutes=10)
-WRITE_LIMIT = timedelta(seconds=5)
-LINGER_LIMIT = timedelta(seconds=1)
-STANDBY_STEP = timedelta(milliseconds=500)
-LONGEST_WAIT = timedelta(hours=1)
-MOST_ID = 200
-Check = Callable[[str, object], None]  # a command's word and its payload
+FETCH_WAIT = timedelta(seconds=2)
+HELLO_TIMEOUT = timedelta(milliseconds=2700)  # from accept; the same as for an HTTP client's first request
+IDLE_TIMEOUT = timedelta(minutes=10)
+WRITE_TIMEOUT = timedelta(seconds=5)
+LINGER_TIMEOUT = timedelta(seconds=1)
+STANDBY_CLOSE_INTERVAL = timedelta(milliseconds=500)
+MAX_WAIT = timedelta(hours=1)
+MAX_ID_CHARS = 200
+Check = Callable[[str, object], None]  # called with a command's name and payload
 
 
 class Peer(Waiting):
-    """One connection: a producer, and with a wid a worker too."""
+    """One connection: a producer, and with a wid also a worker."""
 
     __slots__ = ("commands", "idle", "worker")
 
@@ -64,7 +64,11 @@
 
 
 class FaktoryFront:
-    """Listens for Faktory clients and serves their commands."""
+    """Listens for Faktory clients and serves their commands.
+
+    `share` is this listener's part of the connections that clients may hold, `fetch_limit` the time after
+    which an attempt that no FETCH has taken is returned to the core.
+    """
 
     def __init__(
             self, loop: Loop, address: Address, password: str | None, core: Core, zone: str,
@@ -76,53 +80,59 @@
         self.workers = Workers(loop, core, zone, fetch_limit, counters)
         self.peers: set[Peer] = set()
         self.started = loop.now()
-        self.quieting = self.standby = self.retired = self.sending_away = False
+        self.quieting = self.standby = self.retired = self.is_closing_idle = False
         self.listener = Listener(loop, address, ClientShare(budget, share), self._accepted, sock=sock)
-        self.verbs: dict[str, Callable[[Peer, Any], Steps[bytes]]] = {
+        self.handlers: dict[str, Callable[[Peer, Any], Steps[bytes]]] = {
             "PUSH": self._push, "FETCH": self._fetch, "ACK": self._ack, "FAIL": self._fail,
             "BEAT": self._beat, "INFO": self._info,
         }
 
     def stand_by(self, standby: bool) -> None:
-        """Send producers away, each after its answer, or take them again. Workers stay: jobs need them."""
+        """Enter standby, where producers are disconnected after their answers, or leave it.
+
+        Workers stay connected, since open jobs need them.
+        """
         self.standby = standby
-        self._send_away()
+        self._schedule_idle_close()
 
-    def _send_away(self) -> None:
-        if not self.sending_away and (self.standby or self.retired):
-            self.sending_away = True
-            self.loop.call_later(STANDBY_STEP, self._end_idle)
+    def _schedule_idle_close(self) -> None:
+        if not self.is_closing_idle and (self.standby or self.retired):
+            self.is_closing_idle = True
+            self.loop.call_later(STANDBY_CLOSE_INTERVAL, self._close_idle)
 
     def start(self) -> None:
-        """Accept from now on."""
+        """Begin accepting clients."""
         self.listener.open()
 
     def retire(self) -> None:
-        """Another process accepts: producers move there after their answers, workers once nothing is owed."""
+        """Stop accepting, as another process does so.
+
+        Producers are disconnected after their answers, workers when no answer is due any more.
+        """
         self.listener.close()
         self.retired = True
-        self._send_away()
+        self._schedule_idle_close()
 
-    def _may_go(self, peer: Peer) -> bool:
-        """Whether this peer is to move away now, between two commands."""
+    def _can_disconnect(self, peer: Peer) -> bool:
+        """Whether this peer can be disconnected now, between two commands."""
         worker = peer.worker
         if not (self.standby or self.retired) or peer.commands.buffered or not peer.commands.stream.quiet():
             return False
-        return worker is None or (self.retired and not worker.reserved and not self.core.owed)
+        return worker is None or (self.retired and not worker.fetched and not self.core.owed)
 
-    def _end_idle(self) -> None:
-        """End producers that ask nothing, while standby lasts, and nothing of whom waits to be read."""
-        self.sending_away = self.standby or self.retired
-        if not self.sending_away:
+    def _close_idle(self) -> None:
+        """Disconnect idle peers with no unread input, repeatedly while in standby or retired."""
+        self.is_closing_idle = self.standby or self.retired
+        if not self.is_closing_idle:
             return
         for peer in list(self.peers):
-            if peer.idle and self._may_go(peer):
+            if peer.idle and self._can_disconnect(peer):
                 self.counters["connections_sent_away"] += 1
-                peer.commands.stream.close()  # its task, parked, finds it closed
-        self.loop.call_later(STANDBY_STEP, self._end_idle)
+                peer.commands.stream.close()  # its suspended task finds it closed
+        self.loop.call_later(STANDBY_CLOSE_INTERVAL, self._close_idle)
 
     def producers_owed(self) -> bool:
-        """Whether an answer has still to be written to a producer."""
+        """Whether an answer is still to be written to a producer."""
         return any(peer.answered is not None for peer in self.peers)
 
     def _accepted(self, stream: Stream) -> None:
@@ -132,34 +142,35 @@
         peer.task = self.loop.spawn(self._serve(peer), "faktory connection")
 
     def _serve(self, peer: Peer) -> Steps[None]:
+        """Serve one connection, from its greeting to its end."""
         stream = peer.commands.stream
         try:
             yield from self._greet(peer)
             while True:
                 try:
                     peer.idle = True
-                    command = yield from peer.commands.command(self.loop.now() + IDLE_LIMIT)
+                    command = yield from peer.commands.command(self.loop.now() + IDLE_TIMEOUT)
                     peer.idle = False
                     if command is None:
                         return
                     if command[0] == "END":
-                        yield from stream.write(OK, self.loop.now() + WRITE_LIMIT)
+                        yield from stream.write(OK, self.loop.now() + WRITE_TIMEOUT)
                         return
-                    reply = yield from self._obey(peer, *command)
+                    reply = yield from self._execute(peer, *command)
                 except CommandError as error:
                     if error.fatal:
                         raise
-                    # Guards against bad input ending more than its own command.
+                    # Guards against malformed input failing more than its own command.
                     self.counters["faktory_errors"] += 1
                     reply = error_reply(str(error))
                 if reply:
-                    yield from stream.write(reply, self.loop.now() + WRITE_LIMIT)
+                    yield from stream.write(reply, self.loop.now() + WRITE_TIMEOUT)
                 peer.answered = None
-                if self._may_go(peer):
+                if self._can_disconnect(peer):
                     return
         except CommandError as error:
             self.counters["faktory_errors"] += 1
-            yield from self._last_words(stream, error_reply(str(error)))
+            yield from self._write_fatal_reply(stream, error_reply(str(error)))
         except (Broken, Late):
             self.counters["faktory_connections_broken"] += 1
         finally:
@@ -169,16 +180,17 @@
             if peer.worker is not None:
                 self.workers.leave(peer.worker)
 
-    def _last_words(self, stream: Stream, reply: bytes) -> Steps[None]:
+    def _write_fatal_reply(self, stream: Stream, reply: bytes) -> Steps[None]:
+        """Write the reply to a fatal error and read what the peer still sends."""
         try:
-            yield from stream.write(reply, self.loop.now() + WRITE_LIMIT)
-            yield from stream.linger(self.loop.now() + LINGER_LIMIT, LINGER_LIMIT)
+            yield from stream.write(reply, self.loop.now() + WRITE_TIMEOUT)
+            yield from stream.linger(self.loop.now() + LINGER_TIMEOUT, LINGER_TIMEOUT)
         except (Broken, Late):
             self.counters["faktory_connections_broken"] += 1
 
     def _greet(self, peer: Peer) -> Steps[None]:
-        """HI, HELLO, OK."""
-        until, greeting = self.loop.now() + HELLO_LIMIT, Greeting(self.password)
+        """Exchange HI, HELLO and OK; a fatal CommandError if HELLO is missing or refused."""
+        until, greeting = self.loop.now() + HELLO_TIMEOUT, Greeting(self.password)
         yield from peer.commands.stream.write(greeting.line(), until)
         command = yield from peer.commands.command(until)
         if command is None:
@@ -187,41 +199,42 @@
             raise CommandError(f"{command[0][:20]}: HELLO comes first", fatal=True)
         try:
             hello = parse_object(command[1], "HELLO")
-            self._checked("HELLO", hello)
+            self._check_payload("HELLO", hello)
         except CommandError as error:
             raise CommandError(str(error), fatal=True) from error
         greeting.check(hello)
         wid = hello.get("wid")
         if wid is not None:
-            if not isinstance(wid, str) or not 0 < len(wid) <= MOST_ID:
+            if not isinstance(wid, str) or not 0 < len(wid) <= MAX_ID_CHARS:
                 raise CommandError("HELLO: wid is no short text", fatal=True)
             peer.worker = self.workers.enter(wid)
         yield from peer.commands.stream.write(OK, until)
 
-    def _checked(self, word: str, payload: object) -> None:
+    def _check_payload(self, word: str, payload: object) -> None:
         if self.check is not None:
             self.check(word, payload)
 
-    def _obey(self, peer: Peer, word: str, argument: str) -> Steps[bytes]:
+    def _execute(self, peer: Peer, word: str, argument: str) -> Steps[bytes]:
+        """Execute one command and return its reply; CommandError if it is malformed or unknown."""
         self.counters["faktory_commands"] += 1
-        verb = self.verbs.get(word)
-        if verb is None:
+        handler = self.handlers.get(word)
+        if handler is None:
             raise CommandError(f"command {word[:20]} is not served here")
         payload: object = None
         if word == "FETCH":
             payload = argument.split() or [DEFAULT_QUEUE]
         elif word != "INFO":
             payload = parse_object(argument, word)
-        self._checked(word, payload)
-        return (yield from verb(peer, payload))
+        self._check_payload(word, payload)
+        return (yield from handler(peer, payload))
 
     # --- producers ---------------------------------------------------------------------------------------
 
     def _push(self, peer: Peer, fields: dict[str, Any]) -> Steps[bytes]:
-        """One session, from PUSH to its reply."""
+        """Serve one session, from PUSH to its reply."""
         job = self._read_job(fields, peer.commands.stream.peer)
         answer = yield from peer.hand_in(
-            self.loop, self.core, job, peer.commands.stream, peer.commands.peer_gone)
+            self.loop, self.core, job, peer.commands.stream, peer.commands.poll_disconnect)
         if answer is None:
             raise Broken("the producer left")
         if answer.verdict is Verdict.SERVED:
@@ -234,16 +247,16 @@
         return error_reply(f"denied: job {job.id} may be pushed again{after}{why}")
 
     def _read_job(self, fields: dict[str, Any], client: str | None) -> Job:
-        """The job that a PUSH hands in, or what is wrong with it."""
+        """Returns the job of a PUSH; CommandError if it is malformed."""
         for key, kind in (("jid", str), ("jobtype", str), ("args", list)):
             if not isinstance(fields.get(key), kind) or (kind is str and not fields[key]):
                 raise CommandError(f"PUSH: {key} is missing or of the wrong type")
         jid, custom = fields["jid"], fields.get("custom") or {}
-        if len(jid) > MOST_ID or not jid.isprintable() or not jid.isascii() or " " in jid:
+        if len(jid) > MAX_ID_CHARS or not jid.isprintable() or not jid.isascii() or " " in jid:
             raise CommandError("PUSH: jid is no short word")
         cls = self.classes.get(fields["jobtype"])
         if cls is None:
-            raise CommandError(f"PUSH: unknown jobtype {fields['jobtype'][:MOST_ID]!r}")
+            raise CommandError(f"PUSH: unknown jobtype {fields['jobtype'][:MAX_ID_CHARS]!r}")
         if fields.get("at"):
             raise CommandError("PUSH: at is not served: no queue is kept here")
         if not isinstance(custom, dict):
@@ -266,7 +279,7 @@
         if fault is not None:
             raise CommandError(f"PUSH: custom.tenant: {fault}")
         return Job(
-            jid, cls.name, self.loop.now() + min(span, LONGEST_WAIT), json.dumps(fields["args"]).encode(),
+            jid, cls.name, self.loop.now() + min(span, MAX_WAIT), json.dumps(fields["args"]).encode(),
             custom.get("key"), effect_key, custom.get("tenant"), None,
             _number(custom, "slots", 1.0), _number(custom, "memory", 0.0), again,
             custom.get("region"), client, custom.get("tenant"), PushedJob(fields),
@@ -281,14 +294,14 @@
         return peer.worker
 
     def _fetch(self, peer: Peer, queues: list[str]) -> Steps[bytes]:
-        """Wait for a dispatch, about two seconds at most."""
+        """Wait for an attempt, up to FETCH_WAIT, and write its job; the reply is NIL if there is none."""
         worker = self._worker(peer, "FETCH")
-        until = self.loop.now() + FETCH_BLOCK
+        until = self.loop.now() + FETCH_WAIT
         fetch = worker.begin_fetch(frozenset(queues), peer.task)
         gone: bool | None = None
         try:
             while fetch.dispatch is None and self.loop.now() < until:
-                gone = peer.commands.peer_gone()
+                gone = peer.commands.poll_disconnect()
                 if gone:
                     break
                 if gone is None:
@@ -300,14 +313,14 @@
                 raise Broken("the worker left")
             return NIL
         try:
-            if peer.commands.peer_gone():
+            if peer.commands.poll_disconnect():
                 raise Broken("the worker left")
-            # Guards rule 2: up to the last byte the job can't have run, after it it may have.
-            job = bulk(as_fields(dispatch.job, dispatch.job.deadline - self.loop.now()))
+            # Guards rule 2: before its last byte is sent the job can't have run, afterwards it may have.
+            job = bulk_reply(worker_fields(dispatch.job, dispatch.job.deadline - self.loop.now()))
             yield from peer.commands.stream.write(job, dispatch.job.deadline)
             dispatch.whole = True
         except (Broken, Late):
-            worker.broken_fetch(dispatch)
+            worker.fail_fetch(dispatch)
             raise
         if not dispatch.over:
             dispatch.started()
@@ -325,24 +338,24 @@
         yield
 
     def _beat(self, peer: Peer, fields: dict[str, Any]) -> Steps[bytes]:
-        """A worker's state, and ours for it; either may drain it."""
+        """Apply a worker's state and reply with the node's; either may drain the worker."""
         worker = self._worker(peer, "BEAT")
         if fields.get("wid") != worker.wid:
             raise CommandError("BEAT: wid is not the one of HELLO")
         state = fields.get("current_state") or ""
         if state not in ("", "quiet", "terminate"):
             raise CommandError("BEAT: current_state is neither quiet nor terminate")
-        quieted = self.quieting and not self.core.owed  # while something is owed, its worker is needed
+        quieted = self.quieting and not self.core.owed  # workers are needed while an answer is due
         if state or quieted:
             self.workers.drain(worker)
-        return bulk({"state": "quiet"}) if quieted and not state else OK
+        return bulk_reply({"state": "quiet"}) if quieted and not state else OK
         yield
 
     def _info(self, peer: Peer, _: object) -> Steps[bytes]:
         del peer
         uptime = int((self.loop.now() - self.started).total_seconds())
         counted = {name: count for name, count in sorted(self.counters.items())}
-        return bulk({
+        return bulk_reply({
             "server": {"description": "arrowfold", "uptime": uptime, "connections": len(self.peers),
                        "command_count": self.counters["faktory_commands"]},
             "faktory": {"total_processed": self.counters["answered_served"], "queues": {},
--- a/arrowfold/protocol/faktory_worker.py
+++ b/arrowfold/protocol/faktory_worker.py
@@ -1,4 +1,4 @@
-"""Faktory workers as backend servers: a dispatch waits for its worker's FETCH, then for its ACK."""
+"""Faktory workers: an attempt waits for its worker's FETCH, then for the ACK or FAIL."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 SOURCE = "faktory"
 DEFAULT_QUEUE = "default"
-MOST_WORKERS = 256
-MOST_WAITING = 64
-MOST_PAST = 10_000  # handed-out jobs remembered, so that a late ACK is known for what it is
-RECONNECT_GRACE = timedelta(seconds=5)  # a worker with no connection is gone after this
+MAX_WORKERS = 256
+MAX_QUEUED = 64
+MAX_ENDED_JOBS = 10_000  # ended jobs remembered per worker, so that a late ACK is recognised
+RECONNECT_TIMEOUT = timedelta(seconds=5)  # a worker without a connection is removed after this
 
 
 class PushedJob:
-    """A job's own wire form: what the producer pushed."""
+    """Origin of a job that a Faktory producer pushed: its fields."""
 
     def __init__(self, fields: dict[str, Any]) -> None:
         self.fields = fields
 
 
-def as_fields(job: Job, left: timedelta) -> dict[str, Any]:
-    """A job as a Faktory worker fetches it, whatever wire it came by."""
+def worker_fields(job: Job, left: timedelta) -> dict[str, Any]:
+    """Returns a job's fields as a Faktory worker fetches them, whichever protocol it arrived by."""
     if isinstance(job.origin, PushedJob):
         return job.origin.fields
     custom: dict[str, Any] = {"expires_in_ms": max(0, left // timedelta(milliseconds=1))}
@@ -43,7 +43,7 @@
 
 
 class Fetch:
-    """One FETCH that waits for a job."""
+    """One FETCH that waits for an attempt."""
 
     __slots__ = ("dispatch", "queues", "task")
 
@@ -53,7 +53,7 @@
 
 
 class FaktoryWorker:
-    """One `wid`, over all its connections and reconnects."""
+    """One worker, known by its `wid`, over all its connections and reconnects."""
 
     def __init__(self, loop: Loop, wid: str, fetch_limit: timedelta, counters: Counter[str]) -> None:
         self.loop, self.wid, self.fetch_limit, self.counters = loop, wid, fetch_limit, counters
@@ -61,140 +61,147 @@
         self.quiet = False
         self.queues: frozenset[str] = frozenset()  # those of its last FETCH
         self.fetches: list[Fetch] = []
-        self.waiting: deque[Dispatch] = deque()  # not fetched yet: these have never run
-        self.reserved: dict[str, Dispatch] = {}  # handed out, by jid: these may have run
-        self.past: OrderedDict[str, None] = OrderedDict()
+        self.queued: deque[Dispatch] = deque()  # not fetched yet: these have never run
+        self.fetched: dict[str, Dispatch] = {}  # fetched, by jid: these may have run
+        self.ended_jobs: OrderedDict[str, None] = OrderedDict()
 
-    # --- as the core sees it -----------------------------------------------------------------------------
+    # --- called by the core ------------------------------------------------------------------------------
 
     def send(self, dispatch: Dispatch) -> None:
+        """Give an attempt to a waiting FETCH, or queue it for `fetch_limit`, else return it as not run."""
         queue = _queue(dispatch.job)
         unserved = bool(self.queues) and queue not in self.queues
-        if self.quiet or unserved or len(self.waiting) >= MOST_WAITING:
-            self._later(lambda: self._hand_back(dispatch))
+        if self.quiet or unserved or len(self.queued) >= MAX_QUEUED:
+            self._call_soon(lambda: self._return_unfetched(dispatch))
             return
-        # The latest FETCH first: after a reconnect, an older one may wait on a dead connection.
+        # The latest FETCH first: after a reconnect, an older one may wait on a broken connection.
         waits = (f for f in reversed(self.fetches) if f.dispatch is None and queue in f.queues)
         fetch = next(waits, None)
         if fetch is not None:
-            self._hand_out(dispatch, fetch)
+            self._assign(dispatch, fetch)
             return
-        self.waiting.append(dispatch)
-        self.loop.call_later(self.fetch_limit, lambda: self._hand_back(dispatch))
+        self.queued.append(dispatch)
+        self.loop.call_later(self.fetch_limit, lambda: self._return_unfetched(dispatch))
 
     def probe(self, probe: Probe) -> None:
+        """Report the load, or CONNECT_FAILED if the worker has no connection."""
         status = api.Status.OK if self.connections else api.Status.CONNECT_FAILED
-        self._later(lambda: probe.ended(status, self.load() if self.connections else None))
+        self._call_soon(lambda: probe.ended(status, self.load() if self.connections else None))
 
     def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
-        """Taken back before a FETCH it never ran; handed out, it may have."""
+        """Cancel an attempt: FULL if it was not fetched, so it has not run; None if it may have run."""
         if not isinstance(errand, Dispatch):
             return api.Status.MOOT
-        if errand in self.waiting:
-            self.waiting.remove(errand)
+        if errand in self.queued:
+            self.queued.remove(errand)
             return api.Status.FULL
         for fetch in self.fetches:
-            if fetch.dispatch is errand:  # the FETCH has it in hand, but not a byte of it is out
+            if fetch.dispatch is errand:  # assigned to the FETCH, but no byte of it is sent
                 fetch.dispatch = None
-                self._forget(errand)
+                self._forget_fetched(errand)
                 return api.Status.FULL
-        return None if self._forget(errand) else api.Status.FULL
+        return None if self._forget_fetched(errand) else api.Status.FULL
 
     def rest(self) -> None:
-        """What was not fetched yet goes back, and may go elsewhere."""
-        for dispatch in list(self.waiting):
-            self._later(lambda dispatch=dispatch: self._hand_back(dispatch))  # type: ignore[misc]
+        """Return queued attempts to the core, which may send them to another worker."""
+        for dispatch in list(self.queued):
+            self._call_soon(lambda dispatch=dispatch: self._return_unfetched(dispatch))  # type: ignore[misc]
 
     def load(self) -> api.LoadReport:
-        """Its free slots are the FETCHes that wait here."""
+        """Returns the load report; free slots are the FETCHes that wait for an attempt."""
         free = sum(fetch.dispatch is None for fetch in self.fetches)
-        free = max(0, free - len(self.waiting))
-        return api.LoadReport(free_slots=float(free), held=float(len(self.reserved)))
+        free = max(0, free - len(self.queued))
+        return api.LoadReport(free_slots=float(free), held=float(len(self.fetched)))
 
-    # --- as its connections see it -----------------------------------------------------------------------
+    # --- called by its connections -----------------------------------------------------------------------
 
     def begin_fetch(self, queues: frozenset[str], task: Task | None) -> Fetch:
+        """Register a FETCH, which takes a queued attempt of its queues at once if there is one."""
         self.queues = queues
         fetch = Fetch(queues, task)
         self.fetches.append(fetch)
         if not self.quiet:
-            for dispatch in self.waiting:
+            for dispatch in self.queued:
                 if _queue(dispatch.job) in queues:
-                    self.waiting.remove(dispatch)
-                    self._hand_out(dispatch, fetch)
+                    self.queued.remove(dispatch)
+                    self._assign(dispatch, fetch)
                     break
         return fetch
 
     def end_fetch(self, fetch: Fetch) -> Dispatch | None:
-        """What the FETCH got; from here on the job is on its way to the worker."""
+        """Deregister a FETCH and return its attempt, which is about to be sent to the worker."""
         self.fetches.remove(fetch)
         return fetch.dispatch
 
-    def broken_fetch(self, dispatch: Dispatch) -> None:
-        """Not every byte of the job could be handed over: it never ran."""
-        if self._forget(dispatch):
+    def fail_fetch(self, dispatch: Dispatch) -> None:
+        """End an attempt whose job could not be sent to the last byte, so that it has not run."""
+        if self._forget_fetched(dispatch):
             dispatch.ended(api.Status.CONNECT_FAILED)
 
     def finish(self, jid: str, status: api.Status, body: bytes, fetched: float | None = None) -> None:
-        """An ACK or a FAIL. One that is late, or comes twice, is counted and changes nothing."""
-        dispatch = self.reserved.pop(jid, None)
+        """End an attempt by an ACK or a FAIL; a late or repeated one is only counted.
+
+        CommandError if the job was not fetched by this worker.
+        """
+        dispatch = self.fetched.pop(jid, None)
         if dispatch is not None and not dispatch.over:
-            self._note_past(jid)
+            self._remember_ended(jid)
             dispatch.ended(status, body, self.load(), fetched)
-        elif jid in self.past:
+        elif jid in self.ended_jobs:
             self.counters["faktory_late_acks"] += 1
         else:
             raise CommandError(f"job {jid!r} was not handed to worker {self.wid!r}")
 
-    def be_quiet(self) -> None:
-        """Drained: nothing more is handed out, and what was not fetched goes back at once."""
+    def drain_queue(self) -> None:
+        """Drain the worker: it gets no more attempts, and queued ones are returned to the core at once."""
         self.quiet = True
-        for dispatch in list(self.waiting):
-            self._hand_back(dispatch)
-
-    def be_gone(self) -> None:
-        """It did not come back: what it had may have run."""
-        self.be_quiet()
-        for jid, dispatch in list(self.reserved.items()):
-            self._note_past(jid)
-            del self.reserved[jid]
+        for dispatch in list(self.queued):
+            self._return_unfetched(dispatch)
+
+    def end_fetched(self) -> None:
+        """Remove the worker, which did not reconnect; the attempts that it fetched may have run."""
+        self.drain_queue()
+        for jid, dispatch in list(self.fetched.items()):
+            self._remember_ended(jid)
+            del self.fetched[jid]
             dispatch.ended(api.Status.RESET)
 
     # ---------------------------------------------------------------------------------------------------
 
-    def _hand_out(self, dispatch: Dispatch, fetch: Fetch) -> None:
+    def _assign(self, dispatch: Dispatch, fetch: Fetch) -> None:
+        """Assign an attempt to a FETCH."""
         fetch.dispatch = dispatch
-        self.reserved[dispatch.job.id] = dispatch
+        self.fetched[dispatch.job.id] = dispatch
         if fetch.task is not None:
             fetch.task.wake()
 
-    def _hand_back(self, dispatch: Dispatch) -> None:
-        """Nobody fetched it in time: it never ran, and may go elsewhere."""
-        waited = dispatch in self.waiting
+    def _return_unfetched(self, dispatch: Dispatch) -> None:
+        """Return an attempt that was not fetched in time: it has not run, and may go to another worker."""
+        waited = dispatch in self.queued
         if waited:
-            self.waiting.remove(dispatch)
-        if not dispatch.over and (waited or self.reserved.get(dispatch.job.id) is not dispatch):
+            self.queued.remove(dispatch)
+        if not dispatch.over and (waited or self.fetched.get(dispatch.job.id) is not dispatch):
             dispatch.ended(api.Status.FULL, b"", self.load())
 
-    def _forget(self, dispatch: Dispatch) -> bool:
-        """Whether it was handed out, and is remembered as such for a late ACK."""
-        if self.reserved.get(dispatch.job.id) is not dispatch:
+    def _forget_fetched(self, dispatch: Dispatch) -> bool:
+        """Drop a fetched attempt, remembered for a late ACK; whether it was one."""
+        if self.fetched.get(dispatch.job.id) is not dispatch:
             return False
-        del self.reserved[dispatch.job.id]
-        self._note_past(dispatch.job.id)
+        del self.fetched[dispatch.job.id]
+        self._remember_ended(dispatch.job.id)
         return True
 
-    def _note_past(self, jid: str) -> None:
-        self.past[jid] = None
-        if len(self.past) > MOST_PAST:
-            self.past.popitem(last=False)
+    def _remember_ended(self, jid: str) -> None:
+        self.ended_jobs[jid] = None
+        if len(self.ended_jobs) > MAX_ENDED_JOBS:
+            self.ended_jobs.popitem(last=False)
 
-    def _later(self, call: Callable[[], None]) -> None:
+    def _call_soon(self, call: Callable[[], None]) -> None:
         self.loop.call_later(ZERO, call)
 
 
 class Workers:
-    """Every Faktory worker, as rows of the server table."""
+    """All Faktory workers, as rows of the worker table."""
 
     def __init__(
             self, loop: Loop, core: Core, zone: str, fetch_limit: timedelta, counters: Counter[str],
@@ -204,36 +211,38 @@
         self.by_wid: dict[str, FaktoryWorker] = {}
 
     def enter(self, wid: str) -> FaktoryWorker:
-        """A connection under this wid: a new worker, or one that has come back."""
+        """Add a connection under this wid, of a new or a known worker; CommandError if there are too many."""
         worker = self.by_wid.get(wid)
         if worker is None:
-            if len(self.by_wid) >= MOST_WORKERS:
-                raise CommandError(f"HELLO: more than {MOST_WORKERS} workers", fatal=True)
+            if len(self.by_wid) >= MAX_WORKERS:
+                raise CommandError(f"HELLO: more than {MAX_WORKERS} workers", fatal=True)
             worker = self.by_wid[wid] = FaktoryWorker(self.loop, wid, self.fetch_limit, self.counters)
             self._list(worker, api.Lifecycle.IN_SERVICE)
         worker.connections += 1
         return worker
 
     def leave(self, worker: FaktoryWorker) -> None:
+        """Count a closed connection; without another one the worker is removed after RECONNECT_TIMEOUT."""
         worker.connections -= 1
         if not worker.connections:
             worker.left = self.loop.now()
-            self.loop.call_later(RECONNECT_GRACE, lambda: self._gone(worker))
+            self.loop.call_later(RECONNECT_TIMEOUT, lambda: self._gone(worker))
 
     def drain(self, worker: FaktoryWorker) -> None:
+        """Drain a worker, once."""
         if not worker.quiet:
             self._list(worker, api.Lifecycle.TERMINATING)
-            worker.be_quiet()
+            worker.drain_queue()
 
     def _gone(self, worker: FaktoryWorker) -> None:
-        back = worker.connections or self.loop.now() - worker.left < RECONNECT_GRACE
+        back = worker.connections or self.loop.now() - worker.left < RECONNECT_TIMEOUT
         if not back and self.by_wid.get(worker.wid) is worker:
             del self.by_wid[worker.wid]
             self._list(worker, api.Lifecycle.TERMINATED)
-            worker.be_gone()
+            worker.end_fetched()
 
     def _list(self, worker: FaktoryWorker, state: api.Lifecycle) -> None:
-        # It starts warm (no launch time): it is handed only what it fetches, so nobody can push it over.
+        # No launch time, so no warm-up: a worker gets only what it fetches, and can't be overloaded.
         entry = api.RosterEntry(f"faktory:{worker.wid}", self.zone, "faktory", 0, 0, state)
         self.core.list_servers(SOURCE, [(entry, worker)])
 
@@ -244,7 +253,7 @@
 
 
 def result_bytes(result: object) -> bytes:
-    """An ACK's optional result, as the client's answer."""
+    """Returns an ACK's optional result as the body of the client's answer."""
     if result is None:
         return b""
     return result.encode() if isinstance(result, str) else json.dumps(result).encode()
--- a/arrowfold/protocol/load.py
+++ b/arrowfold/protocol/load.py
@@ -1,4 +1,4 @@
-"""Load reports as backend servers word them, in the module's terms."""
+"""Parser of the workers' load reports."""
 
 from __future__ import annotations
 
@@ -16,25 +16,26 @@
 
 
 def said_fetches(row: Mapping[str, Any]) -> float | None:
-    """`index_fetches` beside a result: how often the server took something from the index for this job."""
+    """Returns `index_fetches` of a result, the worker's fetches from the index; None if absent or invalid."""
     count = row.get("index_fetches")
     if isinstance(count, bool) or not isinstance(count, int | float) or not 0 <= count < math.inf:
-        return None  # said nothing, or nothing that can be meant
+        return None
     return float(count)
 
 
 class LoadReader:
-    """Reads reports; what x0 and x1 mean comes from the settings."""
+    """Parses load reports; the settings map further names, such as x0 and x1, to fields."""
 
     def __init__(self, meanings: Mapping[str, str]) -> None:
         self.fields: Mapping[str, str] = {}
         self.learn(meanings)
 
     def learn(self, meanings: Mapping[str, str]) -> None:
+        """Set the settings' names of fields."""
         self.fields = {**_FIELDS, **meanings}
 
     def from_object(self, row: object) -> api.LoadReport | None:
-        """A JSON object of figures; fields that are unknown or no numbers are passed over."""
+        """Parse a JSON object; ignores unknown fields and those that are no numbers. None if none is left."""
         if not isinstance(row, dict):
             return None
         named: dict[str, Any] = {}
@@ -45,7 +46,7 @@
         return api.LoadReport(**named) if named else None
 
     def from_text(self, text: str) -> api.LoadReport | None:
-        """`TEXT name=figure, ...` or `JSON {...}`; the format's name may be left out."""
+        """Parse `TEXT name=number, ...` or `JSON {...}`; the format's name may be absent. None if invalid."""
         text = text.strip()
         for prefix in ("TEXT", "JSON"):
             text = text.removeprefix(prefix).strip()
--- a/arrowfold/protocol/worker.py
+++ b/arrowfold/protocol/worker.py
@@ -1,4 +1,4 @@
-"""Backend servers that speak HTTP: search workers, at the address that discovery gives."""
+"""Search workers: HTTP/1.1 workers at the addresses that discovery lists."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from arrowfold.transport.pool import REST, NoRoom, Pool, Pools
 from arrowfold.transport.stream import Address, Broken, Late, Stream
 
-MOST_LINE = 256 * 1024  # a result of 64 KiB, escaped
-TIDY_UP = timedelta(seconds=1)
-PASSED_ON = ("content-type", "x-qos", "x-props", "x-customer", "x-size-hint")
+MAX_LINE_BYTES = 256 * 1024  # fits a result of 64 KiB with all characters escaped
+DRAIN_TIMEOUT = timedelta(seconds=1)
+FORWARDED_HEADERS = ("content-type", "x-qos", "x-props", "x-customer", "x-size-hint")
 
 
-def as_request(job: Job) -> tuple[str, str, list[tuple[str, str]]]:
-    """Method, target and headers of a job, whatever wire it came by."""
+def build_request(job: Job) -> tuple[str, str, list[tuple[str, str]]]:
+    """Returns method, target and headers of a job, whichever protocol it arrived by."""
     if isinstance(job.origin, Request):
         origin = job.origin
-        kept = [(name, origin.headers[name]) for name in PASSED_ON if name in origin.headers]
+        kept = [(name, origin.headers[name]) for name in FORWARDED_HEADERS if name in origin.headers]
         return origin.method, origin.target, kept
     target = f"/{quote(job.request_class, safe='')}"
     if job.key is not None:
@@ -35,7 +35,7 @@
 
 
 class SearchWorker:
-    """One search worker and the connections to it."""
+    """One search worker and the pool of connections to it."""
 
     def __init__(
             self, loop: Loop, address: Address, idle: timedelta, connect_limit: timedelta, pools: Pools,
@@ -47,26 +47,34 @@
         self.pool = Pool(loop, address, idle, pools)
 
     def send(self, dispatch: Dispatch) -> None:
-        dispatch.errand = self.loop.spawn(self._run(dispatch), "dispatch")
+        """Start an attempt; its outcome is reported through `dispatch`."""
+        dispatch.errand = self.loop.spawn(self._attempt(dispatch), "dispatch")
 
     def probe(self, probe: Probe) -> None:
-        probe.errand = self.loop.spawn(self._ask(probe), "probe")
+        """Request a load report; the result is reported through `probe`."""
+        probe.errand = self.loop.spawn(self._probe(probe), "probe")
 
     def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
-        """Until its last byte is handed over it can't have run: the connection is closed under the rest."""
+        """Cancel an attempt or a probe by closing its connection.
+
+        MOOT for a probe, and if the worker can't have run the job; None if the job was sent to its last byte,
+        so that it may have run.
+        """
         if errand.errand is not None:
             errand.errand.stop()
         return None if isinstance(errand, Dispatch) and errand.whole else api.Status.MOOT
 
     def rest(self) -> None:
-        """Guards against connections that a restart leaves dead, and what their end would seem to tell."""
+        """Close idle connections. Guards against those broken by a restart, whose errors would mislead."""
         while self.pool.drop_oldest():
             pass
 
     def close(self) -> None:
+        """Close all connections, since the worker was removed, moved or restarted."""
         self.pool.close()
 
     def _connect(self, errand: str) -> Steps[Stream]:
+        """Take a pooled connection or open one, counted by `errand`."""
         opened = self.pool.opened
         stream = yield from self.pool.take(self.loop.now() + self.connect_limit)
         if self.pool.opened == opened:
@@ -76,13 +84,13 @@
             self.counters[f"connections_opened_{errand}"] += 1
         return stream
 
-    def _run(self, dispatch: Dispatch) -> Steps[None]:
-        """One attempt, from its connection to its outcome."""
+    def _attempt(self, dispatch: Dispatch) -> Steps[None]:
+        """Run one attempt, from its connection to its outcome."""
         job = dispatch.job
         try:
             stream = yield from self._connect("dispatch")
         except NoRoom:
-            # Never sent, and no fault of the server's: nothing is to be believed of it for this.
+            # The request was not sent, and the node's limit is no failure of the worker.
             self.counters["connections_no_room"] += 1
             dispatch.ended(api.Status.MOOT)
             return
@@ -91,9 +99,9 @@
             return
         exchange = ClientSide(stream)
         try:
-            # A cancel ends this task, and so do its client's leaving and its server's drain: until the last
-            # byte is out the job can't have run.
-            method, target, headers = as_request(job)
+            # A cancellation stops this task, as do the client's disconnect and the worker's drain: until the
+            # last byte is sent, the job can't have run.
+            method, target, headers = build_request(job)
             left = max(1, to_us(job.deadline - self.loop.now()))
             headers = [("Host", self.host), ("X-Trace-Id", job.id), ("X-Expires-In", f"{left}u"), *headers]
             if job.effect_key is not None:
@@ -105,15 +113,15 @@
                 dispatch.ended(api.Status.CONNECT_FAILED)
                 return
             except (h11.LocalProtocolError, UnicodeError):
-                dispatch.ended(api.Status.MOOT)  # what can't be worded is no fault of the server's
+                dispatch.ended(api.Status.MOOT)  # a request that can't be encoded is no failure of the worker
                 return
             try:
-                yield from self._follow(dispatch, exchange)
+                yield from self._read_answer(dispatch, exchange)
             except Late:
                 dispatch.ended(api.Status.TIMEOUT)
             except (Broken, ValueError, RecursionError) as error:
-                # Guards rule 2: after the last byte it may have run, so this is a reset, never a
-                # silent second try.
+                # Guards rule 2: after the last byte the job may have run, so this is a reset and never
+                # leads to an unreported second attempt.
                 self.counters["resets"] += 1
                 if not dispatch.over:
                     dispatch.ended(api.Status.RESET)
@@ -121,15 +129,18 @@
         finally:
             self._release(exchange, REST)
 
-    def _follow(self, dispatch: Dispatch, exchange: ClientSide) -> Steps[None]:
-        """Read an answer line by line; the line that ends the attempt is reported at once."""
+    def _read_answer(self, dispatch: Dispatch, exchange: ClientSide) -> Steps[None]:
+        """Read the answer's lines of JSON; the line that ends the attempt is reported at once.
+
+        Broken, Late or ValueError if the answer ends early, is late or malformed.
+        """
         status, headers = yield from exchange.head(dispatch.job.deadline)
         load = self._header_load(headers)
         if status != 200:
-            never = headers.get("x-never-ran") == "1" and status in (503, 504)
-            # Guards against a body that never ends: all that counts has been said.
-            dispatch.ended(api.Status.FULL if never else api.Status.ERROR, b"", load)
-            yield from exchange.rest(self.loop.now() + TIDY_UP)
+            never_ran = headers.get("x-never-ran") == "1" and status in (503, 504)
+            # Guards against a body that never ends: status and headers are sufficient.
+            dispatch.ended(api.Status.FULL if never_ran else api.Status.ERROR, b"", load)
+            yield from exchange.rest(self.loop.now() + DRAIN_TIMEOUT)
             return
         buffered = bytearray()
         while not dispatch.over:
@@ -137,40 +148,42 @@
             if part is None:
                 raise Broken("the answer ended before its last line")
             buffered += part
-            if len(buffered) > MOST_LINE:
-                raise Broken("a line is over the bound")
+            if len(buffered) > MAX_LINE_BYTES:
+                raise Broken(f"a line is over {MAX_LINE_BYTES} bytes")
             while not dispatch.over and (end := buffered.find(b"\n")) >= 0:
                 line = bytes(buffered[:end])
                 del buffered[:end + 1]
                 if line.strip():
-                    self._take_line(dispatch, json.loads(line), load)
-        yield from exchange.rest(self.loop.now() + TIDY_UP)
+                    self._apply_line(dispatch, json.loads(line), load)
+        yield from exchange.rest(self.loop.now() + DRAIN_TIMEOUT)
 
-    def _take_line(self, dispatch: Dispatch, row: object, load: api.LoadReport | None) -> None:
+    def _apply_line(self, dispatch: Dispatch, row: object, load: api.LoadReport | None) -> None:
+        """Apply one line of an answer; ValueError if it is malformed or another job's."""
         if not isinstance(row, dict):
-            raise ValueError("a line holds no object")
+            raise ValueError("a line is not a JSON object")
         if row.get("id", dispatch.job.id) != dispatch.job.id:
-            # Guards rule 1: a late second answer to the request before on this connection serves nobody.
+            # Guards rule 1: a late second answer to the connection's previous request goes to no client.
             self.counters["answers_misplaced"] += 1
-            raise ValueError("a line is another job's")
+            raise ValueError("a line has another job's id")
         state = row.get("state")
         if state == "started":
             dispatch.started()
         elif state == "running":
             share = row.get("share")
             dispatch.progressed(float(share) if isinstance(share, int | float) else 0.0)
-        elif state in _LAST:
+        elif state in _FINAL_STATUSES:
             if "load" in row:
                 load = self.loads.from_object(row["load"])
             result = row.get("result", "")
             body = result if isinstance(result, str) else json.dumps(result)
-            dispatch.ended(_LAST[state], body.encode(), load, said_fetches(row))
+            dispatch.ended(_FINAL_STATUSES[state], body.encode(), load, said_fetches(row))
 
     def _header_load(self, headers: dict[str, str]) -> api.LoadReport | None:
         text = headers.get("endpoint-load-metrics")
         return self.loads.from_text(text) if text else None
 
-    def _ask(self, probe: Probe) -> Steps[None]:
+    def _probe(self, probe: Probe) -> Steps[None]:
+        """Run one probe."""
         until = self.loop.now() + timedelta(seconds=5)
         try:
             stream = yield from self._connect("probe")
@@ -197,7 +210,7 @@
             self.pool.drop(exchange.stream)
 
 
-_LAST = {
+_FINAL_STATUSES = {
     "done": api.Status.OK, "failed": api.Status.ERROR, "returned": api.Status.FULL,
     "lost": api.Status.RESET,
 }
