--- a/arrowfold/quotas/__init__.py
+++ b/arrowfold/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas: what organisations and teams may use, over sliding windows, nested, with borrowing. No I/O."""
+"""Quotas of organisations and teams: nested levels, sliding windows, borrowing among siblings. No I/O."""
--- a/arrowfold/quotas/accounts.py
+++ b/arrowfold/quotas/accounts.py
@@ -1,4 +1,4 @@
-"""One level's balances, the ticket of a job that was let in, and why one was not."""
+"""One level's balances, the ticket of an admitted job, and the refusal of another."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import Any, ClassVar, Literal
 
-from arrowfold.quotas.comebacks import Comebacks
+from arrowfold.quotas.comebacks import PromisedRetries
 from arrowfold.quotas.tree import UNIT, Level, Limit, Resource
 from arrowfold.quotas.window import Slot, Window
 
@@ -16,14 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a job does not come in, and when it would."""
+    """The limit that refuses a job, and when a retry would be admitted."""
 
     refused: ClassVar[Literal[True]] = True
     path: Path
     limit: Limit
-    after: timedelta | None  # None: it never fits, for it costs more than a whole window holds
+    after: timedelta | None  # None: never, since the job costs more than the whole limit
 
     def words(self) -> str:
+        """Returns the reason for the client."""
         level = "/".join(self.path) or "jobs without a tenant"
         if self.after is None:
             return f"quota of {level}: one job costs more than {self.limit.words()}"
@@ -31,37 +32,40 @@
 
 
 class Account:
-    """One level's balances."""
+    """One level's balances: its windows, what it has borrowed and owes, and promised retries."""
 
-    __slots__ = ("borrowed", "children", "comebacks", "debt", "debt_us", "level", "open", "path", "seen_us",
-                 "windows")
+    __slots__ = ("borrowed", "children", "debt", "debt_us", "last_request_us", "level", "open", "path",
+                 "retries", "windows")
 
     def __init__(self, path: Path, level: Level, windows: list[Window]) -> None:
         self.path, self.level, self.windows = path, level, windows
         self.debt = [0] * len(windows)
         self.borrowed: list[Window] = [Window(w.limit, w.span_us) for w in windows] if level.borrow else []
         self.debt_us = 0  # when the debts were last reduced
-        self.seen_us = -1  # when it last asked
+        self.last_request_us = -1  # time of the last request
         self.open = 0  # tickets that are not settled
-        self.comebacks: Comebacks | None = None  # once somebody was refused here or near
-        self.children: dict[Path, Account] = {}  # those that asked lately, the latest last
+        self.retries: PromisedRetries | None = None  # set by the first refusal of a job charged here
+        self.children: dict[Path, Account] = {}  # those with recent requests, the latest last
 
     def idle(self, now_us: int) -> bool:
-        """Whether forgetting it changes no decision."""
+        """Whether the account can be removed without changing any decision."""
         for window in (*self.windows, *self.borrowed):
             window.advance(now_us)
-        if self.comebacks is not None:
-            self.comebacks.pass_by(now_us)
-        return not (self.open or any(self.debt) or self.children or (self.comebacks and self.comebacks.times)
+        if self.retries is not None:
+            self.retries.expire(now_us)
+        return not (self.open or any(self.debt) or self.children or (self.retries and self.retries.times_us)
                     or any(w.total for w in (*self.windows, *self.borrowed)))
 
     def rows(self) -> list[Any]:
-        """Balances and debts in plain values, for `take_over` of another process's account."""
+        """Returns balances and debts in JSON values, for `take_over` in another process."""
         return [[limit.resource.value, w.span_us, debt, [[s.number, s.amount] for s in w.slots]]
                 for limit, w, debt in zip(self.level.limits, self.windows, self.debt, strict=True)]
 
     def take_over(self, rows: Iterable[Any]) -> None:
-        """Balances and debts as `rows` said, nothing where it did not; else ValueError or TypeError."""
+        """Set the balances and debts returned by `rows`, zero where missing.
+
+        ValueError or TypeError if they are malformed.
+        """
         held = {(str(resource), int(span_us)): (int(debt), slots)
                 for resource, span_us, debt, slots in rows}
         for number, (limit, window) in enumerate(zip(self.level.limits, self.windows, strict=True)):
@@ -75,31 +79,31 @@
             self.debt[number] = debt
 
     def describe(self, now_us: int) -> list[str]:
-        """A phrase for each limit."""
-        said = []
+        """Returns a text for each limit: its use, loans and debt."""
+        texts = []
         for number, (limit, window) in enumerate(zip(self.level.limits, self.windows, strict=True)):
-            lent = self.borrowed[number] if self.borrowed else None
-            borrowed = lent.limit - lent.room(now_us) if lent is not None else 0
+            loans = self.borrowed[number] if self.borrowed else None
+            borrowed = loans.limit - loans.free_amount(now_us) if loans is not None else 0
             unit = UNIT[limit.resource]
-            said.append(f"{limit.words()}: used {(window.limit - window.room(now_us)) / unit:g} of "
-                        f"{window.limit / unit:g}, borrowed {borrowed / unit:g}, "
-                        f"owes {self.debt[number] / unit:g}")
-        return said
+            texts.append(f"{limit.words()}: used {(window.limit - window.free_amount(now_us)) / unit:g} of "
+                         f"{window.limit / unit:g}, borrowed {borrowed / unit:g}, "
+                         f"owes {self.debt[number] / unit:g}")
+        return texts
 
     def reset(self) -> None:
-        """Forget what was used and is owed. Open tickets can't refund into it."""
+        """Clear balances and debts. Open tickets can't refund into the cleared slots."""
         for window in (*self.windows, *self.borrowed):
             for slot in window.slots:
                 slot.live = False
             window.slots.clear()
             window.total = 0
         self.debt = [0] * len(self.windows)
-        self.comebacks = None
+        self.retries = None
 
 
 @dataclass(slots=True)
 class Ticket:
-    """What was charged for a job that was let in; settled once."""
+    """The charges of an admitted job; settled once."""
 
     refused: ClassVar[Literal[False]] = False
     path: Path = ()
--- a/arrowfold/quotas/comebacks.py
+++ b/arrowfold/quotas/comebacks.py
@@ -1,8 +1,8 @@
-"""Who was told when to come back, at one level, and what is kept free for them.
+"""Retry times promised to refused jobs at one level, and the capacity reserved for these retries.
 
-Guards advice that would not hold: while new jobs keep coming they take all that gets free, and who comes back
-when told would be turned away again. Only as much is kept as those who were told do use, by late experience,
-so clients that never come back, or don't say that they do, cost next to nothing.
+Guards the promised times: without a reservation, new jobs would use all capacity as it becomes free, and a
+retry at its promised time would be refused again. Only as much is reserved as promised retries have recently
+used, so clients that never retry, or don't mark their retries, cost next to nothing.
 """
 
 from __future__ import annotations
@@ -12,82 +12,82 @@
 
 from arrowfold.quotas.window import Window
 
-GRACE_US = 500_000  # who is later than that has not come
-STEP = 0.02  # how much one of them tells of the next
-LEAST = 0.01  # a smaller share than this is none
-MOST = 10_000  # told and not yet due
-MOST_STEPS = 64  # looks for a time among those who were told
+RETRY_GRACE_US = 500_000  # a retry later than this after its time no longer counts as promised
+RETURN_RATE_STEP = 0.02  # weight of one promise in the moving average of the return rate
+MIN_RETURN_RATE = 0.01  # return rates below this count as zero
+MAX_PROMISES = 10_000  # promised times that are stored
+MAX_SEARCH_STEPS = 64  # iterations of the search for a time between promised ones
 
 
-class Comebacks:
-    """The times that were told at one level or below it."""
+class PromisedRetries:
+    """The promised retry times at one level or below it."""
 
-    __slots__ = ("shown", "times")
+    __slots__ = ("return_rate", "times_us")
 
     def __init__(self) -> None:
-        self.times: list[int] = []  # in order; when each is due
-        self.shown = 0.0  # the share, lately, that came when told and said so
-
-    def tell(self, due_us: int) -> None:
-        """Somebody was told this time. A crowd beyond the bound is kept nothing."""
-        if len(self.times) < MOST:
-            insort(self.times, due_us)
-
-    def take(self, now_us: int) -> bool:
-        """A job says that it comes back; whether one was told to by now. Each that was told counts once."""
-        self.pass_by(now_us)
-        if not self.times or self.times[0] > now_us:
+        self.times_us: list[int] = []  # in ascending order
+        self.return_rate = 0.0  # recent share of the promises that were followed by a marked retry in time
+
+    def add(self, due_us: int) -> None:
+        """Add a promised time; beyond the bound, no capacity is reserved for it."""
+        if len(self.times_us) < MAX_PROMISES:
+            insort(self.times_us, due_us)
+
+    def use_due(self, now_us: int) -> bool:
+        """Use up a promise for a marked retry; False if none is due. Each promise is used once."""
+        self.expire(now_us)
+        if not self.times_us or self.times_us[0] > now_us:
             return False
-        del self.times[0]
-        self.shown += STEP * (1 - self.shown)
+        del self.times_us[0]
+        self.return_rate += RETURN_RATE_STEP * (1 - self.return_rate)
         return True
 
-    def kept(self, window: Window, cost: int, now_us: int) -> int:
-        """What has to stay free in a window of this level now, so that it holds those who will come.
+    def reserved_amount(self, window: Window, cost: int, now_us: int) -> int:
+        """Returns the amount to keep free in a window of this level for promised retries.
 
-        Up to each moment at which something leaves the window, those due by then fit beside what is still
-        there, as many of them as usually come and as much again as their number varies. As if each cost as
-        much as the job that asks.
+        At each time when a slot expires, the retries due by then must fit beside what is still charged. Their
+        number is estimated as the mean by the return rate plus one standard deviation, and each is assumed to
+        cost as much as the current job.
         """
-        self.pass_by(now_us)
-        if self.shown < LEAST or not self.times:
+        self.expire(now_us)
+        if self.return_rate < MIN_RETURN_RATE or not self.times_us:
             return 0
-        kept = left = 0
-        for leaves_us, amount in window.leaving(now_us):
-            due = bisect_left(self.times, leaves_us)
+        reserved = freed = 0
+        for expires_us, amount in window.expirations(now_us):
+            due = bisect_left(self.times_us, expires_us)
             if due:
-                mean = self.shown * due
-                likely = min(due, math.ceil(mean + math.sqrt(mean * (1 - self.shown))))
-                kept = max(kept, likely * cost - left)
-            left += amount
-        return kept
+                mean = self.return_rate * due
+                expected = min(due, math.ceil(mean + math.sqrt(mean * (1 - self.return_rate))))
+                reserved = max(reserved, expected * cost - freed)
+            freed += amount
+        return reserved
 
-    def earliest(self, window: Window, limit: int, cost: int, at_us: int) -> int:
-        """When, from `at_us` on, a window of this level holds one more job beside those who were told.
+    def earliest_free_us(self, window: Window, limit: int, cost: int, at_us: int) -> int:
+        """Returns the earliest time from `at_us` when a window can hold a job beside promised retries.
 
-        As if each that was told came, and cost as much as this one.
+        All promised retries are assumed to come, each at the cost of this job.
         """
         span_us = window.span_us + window.slot_us
-        steps = 0
+        iterations = 0
         while True:
-            steps += 1
-            if steps == MOST_STEPS and self.times:
-                at_us = max(at_us, self.times[-1])  # guards the loop against long queues: behind all of them
-            first, last = bisect_right(self.times, at_us - span_us), bisect_right(self.times, at_us)
-            live, leaves_us = window.live(at_us)
-            over = live + (last - first + 1) * cost - limit
+            iterations += 1
+            if iterations == MAX_SEARCH_STEPS and self.times_us:
+                at_us = max(at_us, self.times_us[-1])  # guards the loop against many promises: skips them all
+            first, last = bisect_right(self.times_us, at_us - span_us), bisect_right(self.times_us, at_us)
+            remaining, expires_us = window.remaining_at(at_us)
+            over = remaining + (last - first + 1) * cost - limit
             if over <= 0:
                 return at_us
-            if live:
-                at_us = leaves_us
+            if remaining:
+                at_us = expires_us
             elif first < last:
-                at_us = self.times[min(last, first - (-over // cost)) - 1] + span_us
+                at_us = self.times_us[min(last, first - (-over // cost)) - 1] + span_us
             else:
                 return at_us
 
-    def pass_by(self, now_us: int) -> None:
-        """Those that have not come in time are no longer waited for."""
-        gone = bisect_left(self.times, now_us - GRACE_US)
-        if gone:
-            del self.times[:gone]
-            self.shown *= (1 - STEP) ** gone
+    def expire(self, now_us: int) -> None:
+        """Remove promises whose retries have not come in time, and lower the return rate for them."""
+        expired = bisect_left(self.times_us, now_us - RETRY_GRACE_US)
+        if expired:
+            del self.times_us[:expired]
+            self.return_rate *= (1 - RETURN_RATE_STEP) ** expired
--- a/arrowfold/quotas/contradictions.py
+++ b/arrowfold/quotas/contradictions.py
@@ -1,4 +1,4 @@
-"""What a tree of quotas says that can't be meant, or can't be kept."""
+"""Checks a tree of quotas for limits that contradict each other or can't be kept."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 def contradictions(tree: Tree, means: Mapping[str, timedelta], nodes: int = 1) -> Iterator[str]:
-    """One line each, with the path of the level at fault. `means` are the classes' mean run times."""
+    """Yields a line for each fault, with the level's path. `means` are the classes' mean run times."""
     for name, level in sorted(tree.root.children.items()):
-        yield from _of(level, (name,), means, tree, nodes)
+        yield from _level_faults(level, (name,), means, tree, nodes)
     if tree.root.default is not None:
-        yield from _of(tree.root.default, ("default",), means, tree, nodes)
+        yield from _level_faults(tree.root.default, ("default",), means, tree, nodes)
     if tree.nobody is not None:
-        yield from _of(tree.nobody, ("nobody",), means, tree, nodes)
+        yield from _level_faults(tree.nobody, ("nobody",), means, tree, nodes)
 
 
-def _of(
+def _level_faults(
         level: Level, path: tuple[str, ...], means: Mapping[str, timedelta], tree: Tree, nodes: int,
 ) -> Iterator[str]:
     where = "/".join(path)
     for limit in level.limits:
         part = limit.amount * min(1.0, tree.stretch / nodes) if nodes > 1 else limit.amount
-        needs = _one_job(level, limit, means)
-        if part < needs:
+        job_cost = _min_job_cost(level, limit, means)
+        if part < job_cost:
             yield (f"{where}: {limit.words()}: no single job fits in it" + (
-                f" at a node, of which there are {nodes}" if limit.amount >= needs else ""))
+                f" at a node, of which there are {nodes}" if limit.amount >= job_cost else ""))
         for child_name, child in sorted(level.children.items()):
             longer = [own for own in child.limits
-                      if own.resource is limit.resource and own.per > _longest(level, limit.resource)]
-            if limit.per == _longest(level, limit.resource):
+                      if own.resource is limit.resource and own.per > _longest_window(level, limit.resource)]
+            if limit.per == _longest_window(level, limit.resource):
                 for own in longer:
                     yield (f"{where}/{child_name}: {own.words()}: a window longer than any of {where}'s, so "
                            f"nothing of it can be borrowed or compared")
@@ -46,17 +46,17 @@
     if level.borrow and not level.limits:
         yield f"{where}: borrow, with no limit of its own to go beyond"
     for name, child in sorted(level.children.items()):
-        yield from _of(child, (*path, name), means, tree, nodes)
+        yield from _level_faults(child, (*path, name), means, tree, nodes)
     if level.default is not None:
-        yield from _of(level.default, (*path, "default"), means, tree, nodes)
+        yield from _level_faults(level.default, (*path, "default"), means, tree, nodes)
 
 
-def _longest(level: Level, resource: Resource) -> timedelta:
+def _longest_window(level: Level, resource: Resource) -> timedelta:
     return max((limit.per for limit in level.limits if limit.resource is resource), default=timedelta.max)
 
 
-def _one_job(level: Level, limit: Limit, means: Mapping[str, timedelta]) -> int:
-    """The least that a job of a class that counts here costs."""
+def _min_job_cost(level: Level, limit: Limit, means: Mapping[str, timedelta]) -> int:
+    """Returns the minimum cost of a job of any class that is charged to the level."""
     if limit.resource is Resource.WORKER_TIME:
         runs = [mean // MICROSECOND for name, mean in means.items()
                 if not level.classes or name in level.classes]
--- a/arrowfold/quotas/tree.py
+++ b/arrowfold/quotas/tree.py
@@ -1,7 +1,7 @@
-"""The tree of quotas: levels by path, and what each may use. Plain types.
+"""The tree of quotas: levels by path, with their limits.
 
-Amounts are whole numbers, so that no sequence of charges and refunds mints or loses any: requests in
-requests, worker time in microseconds, index fetches in thousandths.
+Amounts are integers, so that charges and refunds always balance: requests in requests, worker time in
+microseconds, index fetches in thousandths.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from datetime import timedelta
 from enum import Enum
 
-MOST_DEPTH = 8
-MOST_PART = 100  # characters of one part of a path
+MAX_PATH_PARTS = 8
+MAX_PART_CHARS = 100  # characters of one part of a path
 MOST_AMOUNT = 2**62
 
 
 class Resource(Enum):
-    """What is limited. The value is its node's name in the document."""
+    """A limited resource. The value is its node's name in the document."""
 
     REQUESTS = "requests"
     WORKER_TIME = "worker-time"
@@ -29,13 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """At most `amount` in any time of length `per`."""
+    """At most `amount` in any window of length `per`."""
 
     resource: Resource
     amount: int
     per: timedelta
 
     def words(self) -> str:
+        """Returns the limit as text, such as `worker-time 10 s per 60 s`."""
         amount = self.amount / UNIT[self.resource]
         unit = " s" if self.resource is Resource.WORKER_TIME else ""
         return f"{self.resource.value} {amount:g}{unit} per {self.per.total_seconds():g} s"
@@ -43,34 +44,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Level:
-    """An organisation, a team, or something deeper. Its limits are also what siblings can't take from it."""
+    """An organisation, a team or a deeper level. Its limits are also the share that siblings can't borrow."""
 
     name: str
     limits: tuple[Limit, ...] = ()
-    classes: frozenset[str] = frozenset()  # those that count here; empty: all
-    borrow: bool = False  # may use what idle siblings don't
-    weight: float = 1.0  # its part of what there is to borrow
+    classes: frozenset[str] = frozenset()  # classes that are charged here; empty: all
+    borrow: bool = False  # may use its siblings' unused quota
+    weight: float = 1.0  # its relative part of the pool to borrow from
     children: Mapping[str, Level] = field(default_factory=dict)
-    default: Level | None = None  # for children that are not named
+    default: Level | None = None  # for children without an entry
 
     def child(self, name: str) -> Level | None:
+        """Returns the child of this name, or the default."""
         return self.children.get(name) or self.default
 
 
 @dataclass(frozen=True, slots=True)
 class Tree:
-    """All of it. The root has no limits of its own."""
+    """The whole tree and its settings. The root has no limits of its own."""
 
     root: Level
-    nobody: Level | None = None  # for jobs that name no tenant
-    payback: float = 0.5  # the part of a debtor's own share that pays its debt
-    stretch: float = 1.0  # how far all nodes' parts together may go beyond a limit
-    cautious: float = 1.0  # the part of every limit that is free at a start from nothing
-    most_levels: int = 200_000  # remembered at once
-    owners: tuple[tuple[str, str], ...] = ()  # networks, and whose jobs come from there without a tenant
+    nobody: Level | None = None  # for jobs without a tenant
+    payback: float = 0.5  # part of a debtor's own share that repays its debt
+    stretch: float = 1.0  # bound on the sum of all nodes' parts, as a multiple of the limit
+    cautious: float = 1.0  # part of every limit that is free at a start without balances
+    most_levels: int = 200_000  # accounts kept in memory
+    owners: tuple[tuple[str, str], ...] = ()  # networks, and the tenant path of jobs from there without one
 
     def chain(self, path: tuple[str, ...]) -> Iterator[tuple[tuple[str, ...], Level]]:
-        """The levels that a path passes, from the top, each with its path."""
+        """Yields the levels along a path from the top, each with its own path."""
         if not path:
             if self.nobody is not None:
                 yield ("",), self.nobody
@@ -86,17 +88,17 @@
 
 
 class PathError(ValueError):
-    """What is no valid path of a tenant."""
+    """An invalid tenant path."""
 
 
 def read_path(text: str | None) -> tuple[str, ...]:
-    """`org/team` as its parts; nothing at all is an empty path. PathError says what is wrong with it."""
+    """Split a tenant path such as `org/team`; no text is the empty path. PathError if it is invalid."""
     if not text:
         return ()
     parts = tuple(text.split("/"))
-    if len(parts) > MOST_DEPTH:
-        raise PathError(f"more than {MOST_DEPTH} parts")
+    if len(parts) > MAX_PATH_PARTS:
+        raise PathError(f"more than {MAX_PATH_PARTS} parts")
     for part in parts:
-        if not part or len(part) > MOST_PART or not part.isprintable() or part != part.strip():
-            raise PathError(f"{part[:MOST_PART]!r} is no name of an organisation or a team")
+        if not part or len(part) > MAX_PART_CHARS or not part.isprintable() or part != part.strip():
+            raise PathError(f"{part[:MAX_PART_CHARS]!r} is no name of an organisation or a team")
     return parts
--- a/arrowfold/quotas/window.py
+++ b/arrowfold/quotas/window.py
@@ -1,7 +1,7 @@
-"""One sliding window: what was charged lately, in slots; at most its limit in any time of its length.
+"""A sliding window of charges, in slots of time: at most the limit in any interval of the window's length.
 
-A slot counts until its last moment is a whole window old, so no window, whenever it begins, holds more than
-the limit; what a slot's first moments could have given back sooner is under-used, at most one part in SLOTS.
+A slot counts until its end is a whole window old, so no interval, whenever it begins, exceeds the limit.
+Charges at the beginning of a slot expire late by up to a slot, so at most one part in SLOTS is unused.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Slot:
-    """What was charged within one slot's time. `live` while it counts."""
+    """The amount charged within one slot of time; `live` while it is in the window."""
 
     __slots__ = ("amount", "live", "number")
 
@@ -22,31 +22,31 @@
 
 
 class Window:
-    """Charges against one limit. Times are whole microseconds, which may stand still but not go back."""
+    """Charges against one limit. Times are integer microseconds and must not decrease."""
 
     __slots__ = ("limit", "slot_us", "slots", "span_us", "total")
 
     def __init__(self, limit: int, span_us: int) -> None:
         self.limit, self.span_us = limit, span_us
         self.slot_us = max(1, span_us // SLOTS)
-        self.slots: list[Slot] = []  # at most SLOTS and two; a deque would take six times the room
+        self.slots: list[Slot] = []  # at most SLOTS + 2; a deque would take six times the memory
         self.total = 0
 
     def advance(self, now_us: int) -> None:
-        """Forget what is a whole window old."""
+        """Remove slots that are a whole window old."""
         slots = self.slots
         while slots and now_us >= (slots[0].number + 1) * self.slot_us + self.span_us:
             slot = slots.pop(0)
             slot.live = False
             self.total -= slot.amount
 
-    def room(self, now_us: int) -> int:
-        """What may still be charged now; below zero where more was used than reserved."""
+    def free_amount(self, now_us: int) -> int:
+        """Returns what may still be charged now; negative if more was used than reserved."""
         self.advance(now_us)
         return self.limit - self.total
 
     def charge(self, amount: int, now_us: int) -> Slot:
-        """Charge it, whether or not there is room; the slot is what a refund needs."""
+        """Charge an amount, even beyond the limit; returns the slot, for `refund`."""
         self.advance(now_us)
         number = now_us // self.slot_us
         if not self.slots or self.slots[-1].number < number:
@@ -57,37 +57,37 @@
         return slot
 
     def adjust(self, amount: int, at_us: int, now_us: int) -> None:
-        """The same for a charge at an earlier time, or, below zero, a part of one given back."""
+        """Charge an amount at an earlier time, or refund a part of such a charge if it is negative."""
         self.advance(now_us)
         number = at_us // self.slot_us
-        place = bisect_left(self.slots, number, key=lambda slot: slot.number)
-        if place == len(self.slots) or self.slots[place].number != number:
+        index = bisect_left(self.slots, number, key=lambda slot: slot.number)
+        if index == len(self.slots) or self.slots[index].number != number:
             if amount <= 0 or now_us >= (number + 1) * self.slot_us + self.span_us:
-                return  # it has left the window, or was never here
-            self.slots.insert(place, Slot(number))
-        slot = self.slots[place]
-        amount = max(amount, -slot.amount)  # guards against giving back what was forgotten since
+                return  # the charge has expired or is unknown
+            self.slots.insert(index, Slot(number))
+        slot = self.slots[index]
+        amount = max(amount, -slot.amount)  # guards against refunding more than the slot holds
         slot.amount += amount
         self.total += amount
 
     def refund(self, slot: Slot, amount: int) -> None:
-        """Give back a part of what was charged in a slot; what has left the window is given back already."""
+        """Refund a part of a charge; a charge that has expired needs no refund."""
         if slot.live:
             slot.amount -= amount
             self.total -= amount
 
-    def leaving(self, now_us: int) -> Iterator[tuple[int, int]]:
-        """When what counts now will have left, and how much each time."""
+    def expirations(self, now_us: int) -> Iterator[tuple[int, int]]:
+        """Yields the time when each slot expires, and its amount."""
         self.advance(now_us)
         for slot in self.slots:
             yield (slot.number + 1) * self.slot_us + self.span_us, slot.amount
 
-    def live(self, at_us: int) -> tuple[int, int]:
-        """What counts now and still will at a later time, and when the first of it will have left."""
+    def remaining_at(self, at_us: int) -> tuple[int, int]:
+        """Returns the amount charged now that will remain at `at_us`, and when its first slot expires."""
         if not self.slots or (self.slots[-1].number + 1) * self.slot_us + self.span_us <= at_us:
             return 0, at_us
-        for place, slot in enumerate(self.slots):
-            leaves_us = (slot.number + 1) * self.slot_us + self.span_us
-            if leaves_us > at_us:
-                return sum(later.amount for later in self.slots[place:]), leaves_us
+        for index, slot in enumerate(self.slots):
+            expires_us = (slot.number + 1) * self.slot_us + self.span_us
+            if expires_us > at_us:
+                return sum(later.amount for later in self.slots[index:]), expires_us
         return 0, at_us
