--- a/arrowfold/protocol/__init__.py
+++ b/arrowfold/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The wires: what clients, backend servers and discovery speak."""
+"""Network protocols of clients, workers, operators and the discovery service."""
--- a/arrowfold/protocol/front.py
+++ b/arrowfold/protocol/front.py
@@ -140,7 +140,7 @@
         """
         now = self.loop.now()
         closable = [c for c in self.connections
-                  if c.stage.value is not None and now - c.last_progress() >= c.stage.value]
+                    if c.stage.value is not None and now - c.last_progress() >= c.stage.value]
         closable.sort(key=lambda c: (_CLOSE_ORDER.index(c.stage), c.last_progress()))
         max_closed = max(1, len(self.connections) // 8)
         # Guards a request that has arrived and is not read yet: its connection is no longer idle.
--- a/arrowfold/protocol/http.py
+++ b/arrowfold/protocol/http.py
@@ -115,7 +115,7 @@
         except h11.RemoteProtocolError as error:
             raise BadRequest(error.error_status_hint, f"malformed HTTP: {error}") from error
 
-    def poll_disconnect(self, room: int = MAX_PIPELINED_BYTES) -> bool | None:
+    def poll_disconnect(self, free_bytes: int = MAX_PIPELINED_BYTES) -> bool | None:
         """Buffer pipelined data; True after the client's disconnect, None if nothing is there to read.
 
         All data is read, as the end of the stream follows it. Guards memory against a client that sends
@@ -124,7 +124,7 @@
         data = self.stream.try_read(MAX_HEAD_BYTES)
         if data is None:
             return None
-        self.overrun = self.overrun or len(data) > min(room, MAX_PIPELINED_BYTES - len(self.pipelined))
+        self.overrun = self.overrun or len(data) > min(free_bytes, MAX_PIPELINED_BYTES - len(self.pipelined))
         if not self.overrun:
             self.pipelined += data
         return not data
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -1,4 +1,4 @@
-"""The program and its two documents say the same; a bad document is refused at start."""
+"""The program conforms to its OpenAPI and AsyncAPI documents; an invalid document is refused at the start."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         self.assertEqual(node.post("x", path="/counters")[0], 405)
         self.assertEqual(node.counters()["taken"], 3)
 
-    def test_every_described_command_is_served_and_held_to_its_schema(self) -> None:
+    def test_every_described_command_is_served_and_validated(self) -> None:
         node = self.described(self.worker("s1"))
         client, worker = Client(self.port), Client(self.port, "w1")
         self.addCleanup(client.close)
@@ -86,7 +86,7 @@
         self.assertEqual(node.counters()["taken"], 1)
 
     def refused(self, key: str, text: str) -> str:
-        """The one line with which the program refuses a document."""
+        """Returns the line with which the program refuses a document."""
         (self.folder / "document.yaml").write_text(text)
         edge = f'faktory {{\n listen "127.0.0.1:{free_port()}"\n}}\n' \
                f'descriptions {{\n {key} "document.yaml"\n}}\n'
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that is itself in trouble, against the real program: it sheds, lies behind, or is emptied."""
+"""The node program with a faulty discovery service: it sheds calls, lags, or sends empty lists."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Scripted(Server):
-    """A discovery that answers each call by the next step; the last one is repeated.
+    """A discovery service that answers each call by the next step; the last one is repeated.
 
-    A step is a status to shed with, bytes of one line, or a message.
+    A step is an HTTP error status, the bytes of a line, or a message.
     """
 
     def __init__(self, *steps: int | bytes | dict[str, Any]) -> None:
@@ -51,7 +51,7 @@
         return discovery
 
     def serves(self, worker: Worker, *steps: int | bytes | dict[str, Any]) -> None:
-        """The node goes on with what it last had until the discovery has come to itself."""
+        """The node serves with its last list until discovery has recovered, and then with the new one."""
         other = self.worker("s2")
         discovery = self.follow(*steps, listing(9, worker.row(), other.row()))
         node = self.node(worker, discovery=discovery.address)
@@ -62,13 +62,13 @@
         eventually(lambda: any(
             node.post(f"u{n}", path=f"/search?key=k{n}")[1].startswith(b"s2") for n in range(12)))
 
-    def test_calls_that_are_shed(self) -> None:
+    def test_calls_answered_503(self) -> None:
         self.serves(self.worker("s1"), 503, 503, 503)
 
-    def test_half_a_line(self) -> None:
+    def test_an_incomplete_line(self) -> None:
         self.serves(self.worker("s1"), b'{"rev":8,"all":true,"targ')
 
-    def test_nonsense(self) -> None:
+    def test_malformed_messages(self) -> None:
         self.serves(self.worker("s1"), b"once upon a time\n", b"[]\n", b'{"rev":8,"targets":7}\n')
 
     def test_an_empty_list(self) -> None:
@@ -79,14 +79,14 @@
         discovery = self.follow(
             listing(5, one.row("DRAINING"), two.row()), listing(3, one.row(), two.row()))
         node = self.node(one, two, discovery=discovery.address)
-        eventually(lambda: len(discovery.asked) > 6)  # doubted, and then believed
-        for number in range(4):  # the other one is full, and would be the only choice
+        eventually(lambda: len(discovery.asked) > 6)  # refused, and then accepted
+        for number in range(4):  # the other worker is full, so the draining one would be the only choice
             self.assertIn(node.post(f"t{number}", expires="400m")[0], (429, 503))
         self.assertEqual(one.jobs, [])
 
     def test_an_empty_list_that_stays_is_believed(self) -> None:
         worker = self.worker("s1")
         node = self.node(worker, discovery=self.follow(listing(8)).address)
-        eventually(lambda: node.counters()["discovery_messages"] == 2)  # the first is what it was handed
+        eventually(lambda: node.counters()["discovery_messages"] == 2)  # the first is its initial list
         self.assertEqual(node.answers_ready(), 503)
         self.assertGreaterEqual(node.counters()["discovery_doubted"], 3)
--- a/tests/test_faktory.py
+++ b/tests/test_faktory.py
@@ -1,4 +1,4 @@
-"""The Faktory front: stand-in producers and workers beside HTTP clients and search workers."""
+"""The Faktory front end, with producers and workers beside HTTP clients and search workers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         return client
 
     def pushing(self, jid: str, name: str = "search", **fields: Any) -> queue.Queue[str]:
-        """A push that goes on beside the test, and where its reply will be."""
+        """Push a job in a thread; returns the queue for its reply."""
         replies: queue.Queue[str] = queue.Queue()
         producer = self.client()
         threading.Thread(target=lambda: replies.put(producer.push(jid, name, **fields)), daemon=True).start()
@@ -60,7 +60,7 @@
         self.assertEqual(counted["outcome_ok"], 40)
         self.assertTrue(done, "no Faktory worker got a job")
 
-    def test_a_pushed_job_reaches_a_search_worker_in_its_own_form(self) -> None:
+    def test_a_pushed_job_reaches_a_search_worker_as_an_http_request(self) -> None:
         worker = self.worker("s1")
         self.edge(worker)
         custom = {"key": "repo", "expires_in_ms": 20_000}
@@ -88,16 +88,16 @@
         self.assertEqual(first.fetch()["jid"], "job1")
         first.close()
         again = self.client("w1")
-        self.assertIsNone(again.call("FETCH", "default"), "it was handed the job it holds")
+        self.assertIsNone(again.call("FETCH", "default"), "it fetched the job again")
         self.assertEqual(again.call("ACK", {"jid": "job1"}), "+OK")
         self.assertEqual(replies.get(timeout=LONG), "+OK")
         self.assertEqual(node.counters()["dispatched"], 1)
 
-    def test_a_job_goes_to_the_reconnected_worker_and_not_to_its_dead_connection(self) -> None:
-        """Guards against a half-open connection: its FETCH still waits when the new one comes."""
+    def test_a_job_goes_to_the_reconnected_worker_and_not_to_its_broken_connection(self) -> None:
+        """Guards against a half-open connection, whose FETCH still waits when the new one arrives."""
         node = self.edge()
-        silent, back = self.client("w1"), self.client("w1")
-        silent.sock.sendall(b"FETCH default\r\n")
+        unresponsive, back = self.client("w1"), self.client("w1")
+        unresponsive.sock.sendall(b"FETCH default\r\n")
         eventually(lambda: node.counters().get("faktory_commands") == 1)
         jobs: queue.Queue[dict[str, Any]] = queue.Queue()
         threading.Thread(target=lambda: jobs.put(back.fetch()), daemon=True).start()
@@ -140,36 +140,37 @@
         self.assertEqual(worker.call("ACK", {"jid": held}), "+OK")
         self.assertEqual(pushed[held].get(timeout=LONG), "+OK")
 
-    def test_a_node_that_is_to_end_finishes_its_jobs_then_quiets_its_workers(self) -> None:
+    def test_an_ending_node_finishes_its_jobs_then_quiets_its_workers(self) -> None:
         node = self.edge()
         worker, beating = self.client("w1"), self.client("w1")
         replies = self.pushing("job1", "once")
         self.assertEqual(worker.fetch()["jid"], "job1")
-        with socket.create_connection(("127.0.0.1", node.port)) as half:
-            half.sendall(b"POST /search HTT")  # a request under way holds the end back
+        with socket.create_connection(("127.0.0.1", node.port)) as incomplete:
+            incomplete.sendall(b"POST /search HTT")  # a request being received delays the end
             eventually(lambda: node.counters().get("connections_accepted", 0) >= 2)
             node.process.terminate()
             eventually(lambda: node.answers_ready() == 503)
-            self.assertEqual(beating.call("BEAT", {"wid": "w1"}), "+OK")  # its job is still owed
+            self.assertEqual(beating.call("BEAT", {"wid": "w1"}), "+OK")  # the answer to its job is still due
             self.assertEqual(worker.call("ACK", {"jid": "job1"}), "+OK")
             self.assertEqual(replies.get(timeout=LONG), "+OK")
             eventually(lambda: beating.call("BEAT", {"wid": "w1"}) == {"state": "quiet"})
         self.assertEqual(node.process.wait(LONG), 0)
 
-    def test_silence_before_hello_and_half_commands_end_by_themselves(self) -> None:
-        """Guards descriptors, as on the other front; between two commands a client may idle."""
+    def test_connections_without_hello_and_with_an_incomplete_command_time_out(self) -> None:
+        """Guards descriptors, as on the HTTP front end; a client may be idle between two commands."""
         node = self.edge(self.worker("s1"))
-        silent, half, idle = socket.create_connection(("127.0.0.1", self.port)), self.client(), self.client()
-        half.sock.sendall(b'PUSH {"jid"')
-        silent.settimeout(8)
-        half.sock.settimeout(8)
-        with silent:
-            self.assertEqual(b"".join(iter(lambda: silent.recv(99), b""))[:3], b"+HI")
-        self.assertEqual(half.sock.recv(99), b"")
+        unresponsive, incomplete, idle = (
+            socket.create_connection(("127.0.0.1", self.port)), self.client(), self.client())
+        incomplete.sock.sendall(b'PUSH {"jid"')
+        unresponsive.settimeout(8)
+        incomplete.sock.settimeout(8)
+        with unresponsive:
+            self.assertEqual(b"".join(iter(lambda: unresponsive.recv(99), b""))[:3], b"+HI")
+        self.assertEqual(incomplete.sock.recv(99), b"")
         self.assertEqual(idle.push("job"), "+OK")
         self.assertEqual(node.counters()["faktory_connections_broken"], 2)
 
-    def test_a_dispatch_that_nobody_fetched_never_ran_and_goes_elsewhere(self) -> None:
+    def test_an_attempt_that_was_not_fetched_goes_to_another_worker(self) -> None:
         there = self.worker("s1")
         node = self.edge(there, settings=QUICK)
         self.client("w1")  # it never fetches
@@ -178,7 +179,7 @@
         self.assertEqual(len(there.jobs), 6)
         self.assertNotIn("outcome_timeout", node.counters())
 
-    def test_a_worker_that_does_not_come_back_loses_its_job(self) -> None:
+    def test_a_worker_that_does_not_reconnect_loses_its_job(self) -> None:
         node = self.edge()
         worker = self.client("w1")
         replies = self.pushing("job1", "once", custom={"expires_in_ms": 20_000})
@@ -201,7 +202,7 @@
 
 
 class Errors(FaktoryCase):
-    def test_denied_and_failed_are_told_apart(self) -> None:
+    def test_denied_and_failed_have_different_replies(self) -> None:
         node = self.edge()
         denied = self.client().push("job1", custom={"expires_in_ms": 200})
         self.assertRegex(denied, "^-ERR denied: job job1 .*; retry after [0-9.]+ s$")
@@ -211,7 +212,7 @@
         self.assertRegex(replies.get(timeout=LONG), "^-ERR failed: job job2")
         self.assertEqual(node.counters()["outcome_error"], 1)
 
-    def test_a_producer_that_leaves_takes_its_job_with_it(self) -> None:
+    def test_a_producers_disconnect_cancels_its_job(self) -> None:
         node = self.edge()
         worker, producer = self.client("w1"), self.client()
         producer.sock.sendall(b'PUSH {"jid":"job1","jobtype":"once","args":[]}\r\n')
@@ -220,7 +221,7 @@
         eventually(lambda: node.counters().get("client_left") == 1)
         self.assertEqual(worker.call("ACK", {"jid": "job1"}), "+OK")
 
-    def test_each_bad_command_is_answered_and_the_connection_goes_on(self) -> None:
+    def test_each_malformed_command_is_answered_and_the_connection_stays_open(self) -> None:
         self.edge(self.worker("s1"))
         client, worker = self.client(), self.client("w1")
         for word, argument, text in (
@@ -242,20 +243,20 @@
         self.assertEqual(client.call("END"), "+OK")
         self.assertEqual(client.lines.readline(), b"")
 
-    def test_bad_frames_end_their_connection_only(self) -> None:
+    def test_malformed_frames_end_their_connection_only(self) -> None:
         node = self.edge(self.worker("s1"))
         for frame in (b"\xff\xfe\r\n", b"\r\n", b"PUSH " + b"x" * 120_000 + b"\r\n"):
             client = self.client()
             client.sock.sendall(frame)
             self.assertRegex(client.lines.readline(), b"^-ERR ")
             self.assertEqual(client.lines.readline(), b"")
-        half = self.client()
-        half.sock.sendall(b"PUSH {")
-        half.close()
+        incomplete = self.client()
+        incomplete.sock.sendall(b"PUSH {")
+        incomplete.close()
         self.assertEqual(self.client().push("job1"), "+OK")
         self.assertEqual(node.post("t")[0], 200)
 
-    def test_hello_wants_the_version_and_the_password(self) -> None:
+    def test_hello_requires_the_version_and_the_password(self) -> None:
         self.edge(extra='password "secret"')
         self.assertEqual(self.client(password="secret").greeted, "+OK")
         self.assertRegex(self.client(password="wrong").greeted, "^-ERR .*password")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node on sockets: outcomes, bad input, discovery, the end."""
+"""The node program on sockets: outcomes, malformed input, discovery, shutdown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Serving(EdgeCase):
-    def test_the_answer_is_the_backend_servers_result_and_the_job_goes_unchanged(self) -> None:
+    def test_the_answer_is_the_workers_result_and_the_job_is_forwarded_unchanged(self) -> None:
         worker = self.worker("s1")
         node = self.node(worker)
         status, body, _ = node.post("t1", "record", b"commit", path="/record?key=repo&x=1")
@@ -31,14 +31,14 @@
         for n, (status, body, _) in enumerate(answers):
             self.assertEqual((status, body.split(b":")[1]), (200, b"t%d" % n))
 
-    def test_connections_to_a_backend_server_are_used_again(self) -> None:
+    def test_connections_to_a_worker_are_reused(self) -> None:
         node = self.node(self.worker("s1"))
         for n in range(5):
             node.post(f"t{n}")
-            time.sleep(2 * REST.total_seconds())  # a connection that carried a job is left alone for a moment
+            time.sleep(2 * REST.total_seconds())  # a connection rests for a moment after a job
         self.assertLess(node.counters()["connections_opened"], 4)
 
-    def test_new_connections_are_counted_by_what_they_were_opened_for(self) -> None:
+    def test_new_connections_are_counted_by_purpose(self) -> None:
         for probes, errand in ((True, "probe"), (False, "dispatch")):
             permissions = {**QUICK["permissions"], "probes": probes}
             node = self.node(self.worker(f"s-{errand}"), settings={**QUICK, "permissions": permissions})
@@ -49,7 +49,7 @@
 
 class Outcomes(EdgeCase):
     def tries(self, name: str, how: str | int, then: str = "done") -> tuple[int, int]:
-        """Status of the answer, and how often the job was sent, where its first try ends so."""
+        """Returns the answer's status and the number of attempts, the first of which ends as `how`."""
         first: list[str] = []
 
         def behave(job: str, nth: int) -> str | int:
@@ -60,28 +60,28 @@
         status, _, _ = self.node(*workers).post("t", name)
         return status, sum(len(w.jobs) for w in workers)
 
-    def test_what_never_ran_is_sent_again_whatever_its_class(self) -> None:
+    def test_a_job_that_has_not_run_is_retried_in_any_class(self) -> None:
         for how in (503, "returned"):
             self.assertEqual(self.tries("once", how), (200, 2))
 
-    def test_what_may_have_run_is_sent_again_only_where_its_class_permits(self) -> None:
+    def test_a_job_that_may_have_run_is_retried_only_if_its_class_permits(self) -> None:
         for how in ("failed", "lost", "reset", 500, 503.0):
             self.assertEqual(self.tries("search", int(how) if isinstance(how, float) else how), (200, 2))
         for how in ("failed", "lost", "reset", 500):
-            # Guards rule 2: a break after the last byte is a reset, never silently sent again.
+            # Guards rule 2: a connection broken after the last byte is a reset, without a second attempt.
             self.assertEqual(self.tries("once", how), (502, 1))
 
-    def test_a_refused_connection_never_ran(self) -> None:
-        gone, there = self.worker("s1"), self.worker("s2")
-        gone.close()
-        node = self.node(gone, there)
+    def test_a_job_whose_connection_was_refused_is_retried(self) -> None:
+        stopped, running = self.worker("s1"), self.worker("s2")
+        stopped.close()
+        node = self.node(stopped, running)
         for n in range(4):
             self.assertEqual(node.post(f"t{n}", "once")[0], 200)
-        self.assertEqual(len(there.jobs), 4)
+        self.assertEqual(len(running.jobs), 4)
 
-    def test_a_hung_backend_server_costs_a_second_copy_and_one_answer_comes(self) -> None:
-        hung, there = self.worker("s1", lambda job, nth: "hold"), self.worker("s2")
-        node = self.node(hung, there, settings=QUICK)
+    def test_a_hanging_worker_leads_to_a_hedged_attempt_and_one_answer(self) -> None:
+        hung, running = self.worker("s1", lambda job, nth: "hold"), self.worker("s2")
+        node = self.node(hung, running, settings=QUICK)
         for n in range(3):
             self.assertEqual(node.post(f"t{n}")[:2], (200, b"s2:t%d" % n))
 
@@ -91,7 +91,7 @@
         counted = node.counters()
         self.assertEqual(counted.get("answered_failed", 0) + counted.get("answered_denied", 0), 1)
 
-    def test_a_client_that_goes_away_takes_its_job_with_it(self) -> None:
+    def test_a_clients_disconnect_cancels_its_job(self) -> None:
         worker = self.worker("s1", lambda job, nth: "hold")
         node = self.node(worker)
         with socket.create_connection(("127.0.0.1", node.port)) as sock:
@@ -130,7 +130,7 @@
                 (b"HTTP/1.1 413", post("a", length=70_000)),
                 (b"HTTP/1.1 413", post("a", "Transfer-Encoding: chunked", length=None)
                  + b"11000\r\n" + b"x" * 0x11000),
-                # Guards the answer's bytes: a close with unread input would reset the connection under it.
+                # Guards the answer's bytes: closing with unread input would reset the connection.
                 (b"HTTP/1.1 413", post("a", length=500_000) + b"x" * 500_000),
                 (b"HTTP/1.1 431", b"GET / HTTP/1.1\r\nX: " + b"x" * 40_000)):
             self.assertEqual(node.raw(data)[:12], status_line)
@@ -138,24 +138,24 @@
         self.assertEqual(node.post("b")[0], 200)
         self.assertEqual(node.counters()["taken"], 1)
 
-    def test_a_client_that_ends_within_a_request_costs_nothing(self) -> None:
+    def test_a_client_that_disconnects_within_a_request_affects_no_other(self) -> None:
         node = self.node(self.worker("s1"))
         with socket.create_connection(("127.0.0.1", node.port)) as sock:
             sock.sendall(b"POST /search HTT")
         self.assertEqual(node.post("t")[0], 200)
 
-    def test_headers_beyond_ascii_are_passed_on_as_they_came(self) -> None:
-        """Guards a session: h11 refuses such text, and its dispatch once never ended."""
+    def test_headers_beyond_ascii_are_forwarded_unchanged(self) -> None:
+        """Guards a session: h11 refuses such text, and the attempt did not end."""
         worker = self.worker("s1")
         answer = self.node(worker).raw(post("caf\xe9", "Connection: close", "X-Props: \xe9=1"))
         self.assertEqual((answer[:12], worker.jobs[0][0]), (b"HTTP/1.1 200", "caf\xe9"))
 
-    def test_requests_sent_ahead_are_answered_in_turn(self) -> None:
+    def test_pipelined_requests_are_answered_in_order(self) -> None:
         node = self.node(self.worker("s1"))
         answers = node.raw(post("t1") + post("t2", "Connection: close"))
         self.assertLess(answers.index(b"s1:t1"), answers.index(b"s1:t2"))
 
-    def test_a_backend_servers_nonsense_ends_one_attempt_only(self) -> None:
+    def test_a_workers_malformed_answer_ends_one_attempt_only(self) -> None:
         workers = [self.worker(uid, lambda job, nth: "odd-state") for uid in ("s1", "s2")]
         node = self.node(*workers, self.worker("s3"))
         for n in range(4):
@@ -173,21 +173,21 @@
 
 
 class Discovering(EdgeCase):
-    def test_a_node_without_servers_is_not_ready_until_discovery_names_one(self) -> None:
+    def test_a_node_without_workers_is_not_ready_until_discovery_lists_one(self) -> None:
         worker = self.worker("s1")
         node = self.node(discovery=self.discovery(worker).address)
         eventually(lambda: node.answers_ready() == 200)
         self.assertEqual(node.post("t")[:2], (200, b"s1:t"))
 
-    def test_a_node_with_nobody_to_send_to_says_so(self) -> None:
+    def test_a_node_without_workers_is_not_ready_and_denies_jobs(self) -> None:
         node = self.node()
         self.assertEqual(node.answers_ready(), 503)
         status, _, headers = node.post("t", expires="400m")
         self.assertEqual(status, 503)
-        # A session that is given up is answered at once, and told when to come back.
+        # A session that is given up is answered at once, with a retry-after.
         self.assertTrue(0 < float(headers["retry-after"]) <= 2)
 
-    def test_draining_and_deleted_servers_get_nothing_new(self) -> None:
+    def test_draining_and_deleted_workers_get_no_new_jobs(self) -> None:
         one, two = self.worker("s1"), self.worker("s2")
         discovery = self.discovery(one, two)
         node = self.node(one, two, discovery=discovery.address)
@@ -202,7 +202,7 @@
             self.assertEqual(len(one.jobs), count)
             self.assertIs(left, two)
 
-    def test_a_broken_watch_is_taken_up_again_from_where_it_was(self) -> None:
+    def test_a_broken_watch_is_reopened_at_its_last_version(self) -> None:
         worker = self.worker("s1")
         discovery = self.discovery(worker)
         node = self.node(worker, discovery=discovery.address)
@@ -212,7 +212,7 @@
         discovery.changes.put(None)
         self.assertEqual(discovery.asked.get(timeout=LONG), "/registry/instances?follow=1&since=2")
 
-    def test_entries_that_cannot_be_read_leave_the_others_standing(self) -> None:
+    def test_malformed_entries_are_skipped_and_the_others_applied(self) -> None:
         worker = self.worker("s1")
         discovery = self.discovery(worker)
         node = self.node(worker, discovery=discovery.address)
@@ -247,7 +247,7 @@
         self.assertIn(" taken=", asked)
 
     def test_after_sigterm_clients_keep_their_connections_as_long_as_there_is_time(self) -> None:
-        """Guards a zone with one node: who was sent away early found nobody until the node was back."""
+        """Guards a zone with one node: clients disconnected early found no node until its restart."""
         node = self.node(self.worker("s1"))
         kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
         self.assertEqual(node.post("t", connection=kept)[0], 200)
@@ -265,8 +265,8 @@
         self.assertGreater(last - begun, 1)
         self.assertEqual(node.process.wait(LONG), 0)
 
-    def test_what_is_owed_when_sigkill_is_near_is_answered_and_not_dropped(self) -> None:
-        """Guards rule 1: a request that came after SIGTERM may have a deadline later than our end."""
+    def test_open_requests_are_answered_before_sigkill(self) -> None:
+        """Guards rule 1: a request received after SIGTERM may have a deadline later than the node's end."""
         worker = self.worker("s1", lambda job, nth: "hold")
         node = self.node(worker)  # its longest deadline is 20 s, which counts as 3 s
         node.process.terminate()
@@ -275,14 +275,14 @@
 
 
 class Crowds(EdgeCase):
-    def test_more_clients_than_descriptors_are_served_and_silent_ones_make_room(self) -> None:
-        """Guards against EMFILE and silent peers: the house holds 8 clients here."""
+    def test_more_clients_than_descriptors_are_served_and_idle_ones_are_closed(self) -> None:
+        """Guards against EMFILE and idle peers: 8 clients may be connected here."""
         node = self.node(self.worker("s1"), limits={"sockets": 64})
-        silent = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(30)]
+        idle_sockets = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(30)]
         try:
             for answer in in_threads([lambda n=n: node.post(f"t{n}") for n in range(20)]):  # type: ignore[misc]
                 self.assertEqual(answer[0], 200)
         finally:
-            for sock in silent:
+            for sock in idle_sockets:
                 sock.close()
         self.assertIsInstance(node, Node)
--- a/tests/test_quota_commands.py
+++ b/tests/test_quota_commands.py
@@ -1,4 +1,4 @@
-"""`arrowfold quotas`: the tree as a node has it, what contradicts itself, and arrivals in virtual time."""
+"""`arrowfold quotas`: the tree with a node's parts, contradictions, and arrivals replayed in virtual time."""
 
 from __future__ import annotations
 
--- a/tests/test_quotas_node.py
+++ b/tests/test_quotas_node.py
@@ -1,4 +1,4 @@
-"""Quotas at a running node: both wires, answers that say why, other limits at SIGHUP, another process."""
+"""Quotas at a running node: both protocols, reasons in answers, reload by SIGHUP, hand-over of balances."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     def statuses(self, node: Node, start: str, count: int, tenant: str) -> list[int]:
         return [node.post(f"{start}-{n}", X_Tenant=tenant)[0] for n in range(count)]
 
-    def test_a_team_and_its_organisation_over_both_wires(self) -> None:
+    def test_limits_of_a_team_and_its_organisation_over_both_protocols(self) -> None:
         node = self.start()
         self.assertEqual(self.statuses(node, "web", 5, "acme/web"), [200] * 4 + [429])
         status, body, headers = node.post("more", X_Tenant="acme/web")
@@ -73,8 +73,8 @@
         self.assertEqual(counted["quotas_denied"], 4)
         self.assertEqual(len(self.worker_.jobs), counted["quotas_let_in"])
 
-    def test_a_job_that_names_no_tenant_is_its_networks(self) -> None:
-        """The narrowest network holds; whom a job names goes before it; both wires alike."""
+    def test_a_job_without_a_tenant_is_charged_by_its_network(self) -> None:
+        """The narrowest network applies, and a tenant named by the job comes first; over both protocols."""
         node = self.start()
         connection = http.client.HTTPConnection(
             "127.0.0.1", node.port, timeout=LONG, source_address=("127.0.0.9", 0))
@@ -92,18 +92,18 @@
         self.assertIn("used 4 of 4", node.call("quota acme/web"))
         self.assertIn("used 2 of 10", node.call("quota reads"))
 
-    def test_a_servers_own_word_of_fetches_goes_before_the_estimate(self) -> None:
+    def test_a_workers_reported_fetches_replace_the_estimate(self) -> None:
         node = self.start()
         for nth, (said, used) in enumerate((({"index_fetches": 2.5}, "2.5"), ({"index_fetches": 0}, "2.5"),
                            ({"index_fetches": -1}, "3.5"), ({"index_fetches": "many"}, "4.5"), ({}, "5.5"))):
-            self.worker_.said = said  # the last three say nothing that can be meant: one fetch of a new key
+            self.worker_.said = said  # the last three are invalid or missing: one fetch for a new key
             self.assertEqual(node.post(f"job-{nth}", path=f"/search?key=k{nth}")[0], 200)
             self.assertIn(f"used {used} of 10", node.call("quota reads"))
         self.worker_.said = {"index_fetches": 4.5}
         self.assertEqual(node.post("last", path="/search?key=last")[0], 200)
         self.assertEqual(node.post("over", path="/search?key=over")[0], 429)
 
-    def test_a_faktory_workers_own_word_of_fetches(self) -> None:
+    def test_a_faktory_workers_reported_fetches(self) -> None:
         self.port = free_port()
         node = self.node(edge=DOCUMENT.replace("PORT", str(self.port)))
         producer, worker = Client(self.port), Client(self.port, "w1")
@@ -116,7 +116,7 @@
             self.assertEqual(list(answers), ["+OK", "+OK"])
             self.assertIn(f"used {used} of 10", node.call("quota reads"))
 
-    def test_a_path_that_is_none_is_refused(self) -> None:
+    def test_an_invalid_tenant_path_is_refused(self) -> None:
         node = self.start()
         for path in ("acme//web", "/", "a/b/c/d/e/f/g/h/i"):
             status, body, _ = node.post("t", X_Tenant=path)
@@ -125,8 +125,8 @@
         self.addCleanup(client.close)
         self.assertRegex(client.push("j", custom={"tenant": "a//b"}), "^-ERR PUSH: custom.tenant")
 
-    def test_worker_time_counts_what_was_used(self) -> None:
-        """Each run takes half a second, whatever was reserved for it."""
+    def test_worker_time_is_charged_as_used(self) -> None:
+        """Each run takes half a second, while less is reserved for it."""
         settings = {"classes": [{**row, "onTimeUs": 100_000} for row in SETTINGS["classes"]]}
         node = self.start(settings={**SETTINGS, **settings})
         self.assertEqual(self.statuses(node, "long", 4, "slow"), [200, 200, 429, 429])
@@ -137,7 +137,7 @@
         for line in ("quota nowhere", "quota a//b", "quota", "quota-reset nowhere"):
             self.assertTrue(node.call(line).startswith("fail "))
 
-    def test_who_comes_back_when_told_gets_in(self) -> None:
+    def test_a_retry_after_the_promised_time_is_admitted(self) -> None:
         node = self.start()
         self.assertEqual(node.post("one", X_Tenant="short")[0], 200)
         status, _, headers = node.post("two", X_Tenant="short")
@@ -145,7 +145,7 @@
         time.sleep(float(headers["retry-after"]) + 0.002)
         self.assertEqual(node.post("three", X_Tenant="short")[0], 200)
 
-    def test_other_limits_while_running_keep_what_was_used(self) -> None:
+    def test_a_reload_of_limits_keeps_what_was_used(self) -> None:
         node = self.start()
         self.statuses(node, "web", 4, "acme/web")
         text = node.edge_file.read_text()
@@ -160,7 +160,7 @@
         self.assertEqual(self.statuses(node, "same", 1, "acme/web"), [429])
         self.assertIn('quotas > organisation "acme" > requests: per is to be a time', node.close())
 
-    def test_balances_go_over_to_the_next_process(self) -> None:
+    def test_balances_are_handed_over_to_the_next_process(self) -> None:
         node = self.start()
         self.assertEqual(self.statuses(node, "web", 3, "acme/web"), [200] * 3)
         following = self.node(self.worker_, edge=node.edge_file.read_text(), port=node.port, wait=False)
@@ -168,8 +168,8 @@
         self.assertEqual(node.terminate(), 0)
         self.assertEqual(self.statuses(following, "after", 2, "acme/web"), [200, 429])
 
-    def test_what_the_last_process_settles_late_counts_at_the_next(self) -> None:
-        """A job under way while the process is replaced: what it used beyond what was reserved."""
+    def test_a_settlement_in_the_old_process_is_charged_in_the_next(self) -> None:
+        """A job runs while the process is replaced, and uses more than was reserved."""
         settings = {**SETTINGS, "classes": [{**row, "onTimeUs": 100_000} for row in SETTINGS["classes"]]}
         self.behave = lambda job, nth: "hold"  # type: ignore[method-assign]
         node = self.start(settings=settings)
@@ -182,7 +182,7 @@
                               settings=settings)
         eventually(lambda: self.up(following) and following.call("status").startswith("ok "))
         self.assertIn("used 0.1 of", following.call("quota slow"))
-        time.sleep(0.3)  # at least so long it has run by then, whatever the machine does
+        time.sleep(0.3)  # the minimum time that the job has run by then
         self.worker_.release.set()
         self.assertEqual(connection.getresponse().status, 200)
         eventually(lambda: float(following.call("quota slow").split("used ")[1].split()[0]) > 0.3)
@@ -214,7 +214,7 @@
 
 
 class TwoNodes(EdgeCase):
-    """Nodes that share nothing keep the bound together, over both wires, by what the worker counted."""
+    """Two nodes without shared state keep a common limit, over both protocols, as counted by the worker."""
 
     def behave(self, job: str, nth: int) -> str:
         return "slow" if job.startswith("busy") else "done"
@@ -236,7 +236,7 @@
             found.append((node, client))
         return found
 
-    def test_requests_are_kept_and_every_job_has_one_answer(self) -> None:
+    def test_the_limit_of_requests_is_kept_and_every_job_has_one_answer(self) -> None:
         for stretch, most in (("1", 20), ("1.5", 30)):
             answers: list[str] = []
             for number, (node, client) in enumerate(self.pair(stretch)):
@@ -251,11 +251,11 @@
             self.assertEqual((let_in, len(self.worker_.jobs)), (most, most))
             self.assertEqual(set(answers), {"200", "+OK", "429", "-ERR"})
 
-    def test_worker_time_is_kept_as_the_worker_counts_it(self) -> None:
+    def test_the_limit_of_worker_time_is_kept(self) -> None:
         for number, (node, _) in enumerate(self.pair("1")):
             answers = [node.post(f"busy-{number}-{n}", X_Tenant="busy")[0] for n in range(9)]
             self.assertIn(429, answers)
-        # Half a second each: six seconds are twelve runs; one at each node may end beyond what was reserved.
+        # Half a second each: six seconds are twelve runs; one at each node may exceed what was reserved.
         spent = 0.5 * len(self.worker_.jobs)
         self.assertLessEqual(spent, 6 + 2 * 0.5)
         self.assertGreater(spent, 2)
