--- a/arrowfold/protocol/discovery.py
+++ b/arrowfold/protocol/discovery.py
@@ -76,7 +76,7 @@
     def feed(self, data: bytes) -> list[Any]:
         """Returns the messages completed by `data`. ValueError if one is not JSON, Broken if too large."""
         self.unfinished_line += data
-        self.has_progress, whole = False, []
+        self.has_progress, messages = False, []
         *lines, rest = self.unfinished_line.split(b"\n")
         self.unfinished_line = rest
         if len(self.unfinished_line) + len(self.partial_message) > MAX_LIST_BYTES:
@@ -90,11 +90,9 @@
             self.partial_message += line
             if self.depth <= 0:
                 text, self.partial_message, self.depth = self.partial_message, bytearray(), 0
-                whole.append(json.loads(text))
+                messages.append(json.loads(text))
                 self.has_progress = True
-        return whole
-
-
+        return messages
 class Discovery:
     """A node's calls to the discovery service; a watch lasts until it breaks.
 
@@ -187,18 +185,19 @@
         """
         if not isinstance(message, dict) or not isinstance(message.get("targets"), list):
             raise ValueError("a message without targets")
-        whole = bool(message.get("all"))
+        is_complete = bool(message.get("all"))
         if mode is None:
-            self._check_plausible(message, whole)
+            self._check_plausible(message, is_complete)
         revision = message.get("rev")
-        rows = [row for target in message["targets"] if (row := self._row(target, revision)) is not None]
+        rows = [row for target in message["targets"]
+                if (row := self._table_row(target, revision)) is not None]
         if isinstance(revision, int):
             self.revision = revision
-        if whole:
+        if is_complete:
             self.entries.clear()
         self.entries |= {str(t["uid"]): t for t in message["targets"] if isinstance(t, dict) and "uid" in t}
         if mode is None:
-            mode = api.RosterMode.COMPLETE if whole else api.RosterMode.PARTIAL
+            mode = api.RosterMode.COMPLETE if is_complete else api.RosterMode.PARTIAL
         if mode is not api.RosterMode.PARTIAL:
             listed = {entry.worker for entry, _ in rows}
             for uid in [uid for uid in self.workers if uid not in listed]:
@@ -213,7 +212,7 @@
             self.heard = True
             self._serve_known_list()
 
-    def _check_plausible(self, message: dict[str, Any], whole: bool) -> None:
+    def _check_plausible(self, message: dict[str, Any], is_complete: bool) -> None:
         """Raises ImplausibleList for a list that a faulty discovery service may have sent.
 
         Guards the worker table against a lagging replica (an older version), and against a list emptied by a
@@ -222,7 +221,8 @@
         the time to obey it is over, since what the service has sent counts as known (rule 3).
         """
         revision, why = message.get("rev"), ""
-        if whole and self.workers and not any(isinstance(t, dict) and "uid" in t for t in message["targets"]):
+        if is_complete and self.workers \
+                and not any(isinstance(t, dict) and "uid" in t for t in message["targets"]):
             why = "an empty list"
         elif isinstance(revision, int) and self.revision is not None and revision < self.revision \
                 and not self.awaits_new_address:
@@ -255,7 +255,7 @@
         for target in message["targets"]:
             state = target.get("state") if isinstance(target, dict) else None
             if state in _LIFECYCLES and state != "SERVING" and str(target.get("uid")) in self.workers:
-                row = self._row(target, None, keep=True)
+                row = self._table_row(target, None, keep=True)
                 if row is not None and row[0].launched_us == self.workers[row[0].worker][1]:
                     rows.append((replace(row[0], lifecycle=api.Lifecycle.TERMINATING), row[1]))
         if rows:
@@ -271,7 +271,7 @@
         return {"rev": None if self.awaits_new_address else self.revision, "all": True,
                 "targets": list(self.entries.values())}
 
-    def _row(
+    def _table_row(
             self, target: Any, revision: object, keep: bool = False,
     ) -> tuple[api.RosterEntry, SearchWorker] | None:
         """Returns a worker's row for the table; None for a malformed entry, which is logged and skipped.
@@ -421,29 +421,29 @@
         finally:
             stream.close()
 
-    def _follow_watch(self, exchange: ClientSide, first: timedelta) -> Steps[None]:
+    def _follow_watch(self, exchange: ClientSide, first_deadline: timedelta) -> Steps[None]:
         """Apply a watch's messages until it ends; WatchTimeout if no message or keep-alive arrives in time.
 
         Guards against a watch that stalls within a line or trickles bytes that complete none: the time of the
         last complete message counts, not that of the last byte. The first message may be long, and has until
-        `first`.
+        `first_deadline`.
         """
         limit = WATCH_IDLE_TIMEOUT + WATCH_IDLE_TIMEOUT_JITTER * self.random.random()
-        heard, messages = self.loop.now(), MessageParser()
-        until = max(first, heard + limit)
+        last_message, parser = self.loop.now(), MessageParser()
+        until = max(first_deadline, last_message + limit)
         while True:
             try:
                 part = yield from exchange.part(until)
             except Late as error:
-                self.update_due_until = heard + UPDATE_DUE_AFTER_SILENCE
+                self.update_due_until = last_message + UPDATE_DUE_AFTER_SILENCE
                 raise WatchTimeout(f"no message or keep-alive for {limit.total_seconds():.1f} s") from error
-            for message in messages.feed(part or b""):
+            for message in parser.feed(part or b""):
                 self._receive(message)
-            if messages.has_progress:
-                heard = self.loop.now()
-                until = heard + limit
+            if parser.has_progress:
+                last_message = self.loop.now()
+                until = last_message + limit
             elif self.loop.now() >= until:
-                self.update_due_until = heard + UPDATE_DUE_AFTER_SILENCE
+                self.update_due_until = last_message + UPDATE_DUE_AFTER_SILENCE
                 raise WatchTimeout(f"no complete message or keep-alive for {limit.total_seconds():.1f} s")
             if part is None:
                 return
--- a/arrowfold/protocol/faktory.py
+++ b/arrowfold/protocol/faktory.py
@@ -33,7 +33,7 @@
     worker_fields,
 )
 from arrowfold.protocol.load import said_fetches
-from arrowfold.protocol.waiting import Waiting
+from arrowfold.protocol.waiting import AnswerReceiver
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import Job, Verdict
 from arrowfold.transport.budget import Budget, ClientShare
@@ -51,7 +51,7 @@
 Check = Callable[[str, object], None]  # called with a command's name and payload
 
 
-class Peer(Waiting):
+class Peer(AnswerReceiver):
     """One connection: a producer, and with a wid also a worker."""
 
     __slots__ = ("commands", "idle", "worker")
@@ -178,7 +178,7 @@
             self.peers.discard(peer)
             self.listener.released()
             if peer.worker is not None:
-                self.workers.leave(peer.worker)
+                self.workers.remove_connection(peer.worker)
 
     def _write_fatal_reply(self, stream: Stream, reply: bytes) -> Steps[None]:
         """Write the reply to a fatal error and read what the peer still sends."""
@@ -207,7 +207,7 @@
         if wid is not None:
             if not isinstance(wid, str) or not 0 < len(wid) <= MAX_ID_CHARS:
                 raise CommandError("HELLO: wid is no short text", fatal=True)
-            peer.worker = self.workers.enter(wid)
+            peer.worker = self.workers.add_connection(wid)
         yield from peer.commands.stream.write(OK, until)
 
     def _check_payload(self, word: str, payload: object) -> None:
@@ -233,7 +233,7 @@
     def _push(self, peer: Peer, fields: dict[str, Any]) -> Steps[bytes]:
         """Serve one session, from PUSH to its reply."""
         job = self._read_job(fields, peer.commands.stream.peer)
-        answer = yield from peer.hand_in(
+        answer = yield from peer.submit(
             self.loop, self.core, job, peer.commands.stream, peer.commands.poll_disconnect)
         if answer is None:
             raise Broken("the producer left")
--- a/arrowfold/protocol/faktory_worker.py
+++ b/arrowfold/protocol/faktory_worker.py
@@ -57,7 +57,7 @@
 
     def __init__(self, loop: Loop, wid: str, fetch_limit: timedelta, counters: Counter[str]) -> None:
         self.loop, self.wid, self.fetch_limit, self.counters = loop, wid, fetch_limit, counters
-        self.connections, self.left = 0, ZERO
+        self.connections, self.disconnected_at = 0, ZERO
         self.quiet = False
         self.queues: frozenset[str] = frozenset()  # those of its last FETCH
         self.fetches: list[Fetch] = []
@@ -89,7 +89,10 @@
         self._call_soon(lambda: probe.ended(status, self.load() if self.connections else None))
 
     def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
-        """Cancel an attempt: FULL if it was not fetched, so it has not run; None if it may have run."""
+        """Cancel an attempt or a probe.
+
+        FULL if the attempt was not fetched, so it has not run; None if it may have run; MOOT for a probe.
+        """
         if not isinstance(errand, Dispatch):
             return api.Status.MOOT
         if errand in self.queued:
@@ -210,7 +213,7 @@
         self.fetch_limit, self.counters = fetch_limit, counters
         self.by_wid: dict[str, FaktoryWorker] = {}
 
-    def enter(self, wid: str) -> FaktoryWorker:
+    def add_connection(self, wid: str) -> FaktoryWorker:
         """Add a connection under this wid, of a new or a known worker; CommandError if there are too many."""
         worker = self.by_wid.get(wid)
         if worker is None:
@@ -221,12 +224,12 @@
         worker.connections += 1
         return worker
 
-    def leave(self, worker: FaktoryWorker) -> None:
+    def remove_connection(self, worker: FaktoryWorker) -> None:
         """Count a closed connection; without another one the worker is removed after RECONNECT_TIMEOUT."""
         worker.connections -= 1
         if not worker.connections:
-            worker.left = self.loop.now()
-            self.loop.call_later(RECONNECT_TIMEOUT, lambda: self._gone(worker))
+            worker.disconnected_at = self.loop.now()
+            self.loop.call_later(RECONNECT_TIMEOUT, lambda: self._remove_disconnected(worker))
 
     def drain(self, worker: FaktoryWorker) -> None:
         """Drain a worker, once."""
@@ -234,9 +237,9 @@
             self._list(worker, api.Lifecycle.TERMINATING)
             worker.drain_queue()
 
-    def _gone(self, worker: FaktoryWorker) -> None:
-        back = worker.connections or self.loop.now() - worker.left < RECONNECT_TIMEOUT
-        if not back and self.by_wid.get(worker.wid) is worker:
+    def _remove_disconnected(self, worker: FaktoryWorker) -> None:
+        reconnected = worker.connections or self.loop.now() - worker.disconnected_at < RECONNECT_TIMEOUT
+        if not reconnected and self.by_wid.get(worker.wid) is worker:
             del self.by_wid[worker.wid]
             self._list(worker, api.Lifecycle.TERMINATED)
             worker.end_fetched()
--- a/arrowfold/protocol/front.py
+++ b/arrowfold/protocol/front.py
@@ -15,7 +15,7 @@
 
 from arrowfold import interface as api
 from arrowfold.protocol.http import BadRequest, Request, ServerSide
-from arrowfold.protocol.waiting import Waiting
+from arrowfold.protocol.waiting import AnswerReceiver
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import Job, Verdict
 from arrowfold.transport.budget import Budget, ClientShare
@@ -62,7 +62,7 @@
     """
 
     NO_DATA = timedelta(milliseconds=150)  # connected, no byte received
-    LINGERING = timedelta(milliseconds=300)  # an error was answered; reading what the client still sends
+    LINGERING = timedelta(milliseconds=300)  # the last answer or an error is written; reading the rest
     IDLE_PAGES = timedelta(milliseconds=100)  # idle, has requested status pages only
     PARTIAL_REQUEST = timedelta(milliseconds=1000)  # a request is partly received; counted from its last byte
     IDLE_JOBS = timedelta(seconds=10)  # idle, has submitted jobs
@@ -72,7 +72,7 @@
 _CLOSE_ORDER = list(Stage)
 
 
-class Connection(Waiting):
+class Connection(AnswerReceiver):
     """One client's connection: its state and the bytes that it holds in memory."""
 
     __slots__ = ("accepted", "body_bytes", "idle_stage", "is_first_request", "pipelined_bytes", "side",
@@ -367,7 +367,7 @@
     def _answer(self, connection: Connection, job: Job) -> Steps[bool]:
         """Submit a job and write its answer; whether the connection stays open."""
         side = connection.side
-        answer = yield from connection.hand_in(
+        answer = yield from connection.submit(
             self.loop, self.core, job, side.stream, lambda: self._peer_gone(connection))
         if answer is None:
             return False
--- a/arrowfold/protocol/waiting.py
+++ b/arrowfold/protocol/waiting.py
@@ -12,7 +12,7 @@
 MAX_PIPELINED_READS = 16  # reads of pipelined data before a job is submitted
 
 
-class Waiting:
+class AnswerReceiver:
     """Holds the answer to a connection's open job; base class of the connections."""
 
     __slots__ = ("answered", "task")
@@ -27,7 +27,7 @@
         if self.task is not None:
             self.task.wake()
 
-    def hand_in(
+    def submit(
             self, loop: Loop, core: Core, job: Job, stream: Stream,
             poll_disconnect: Callable[[], bool | None],
     ) -> Steps[Answer | None]:
--- a/arrowfold/quotas/accounts.py
+++ b/arrowfold/quotas/accounts.py
@@ -34,8 +34,8 @@
 class Account:
     """One level's balances: its windows, what it has borrowed and owes, and promised retries."""
 
-    __slots__ = ("borrowed", "children", "debt", "debt_us", "last_request_us", "level", "open", "path",
-                 "retries", "windows")
+    __slots__ = ("borrowed", "children", "debt", "debt_us", "last_request_us", "level", "open_tickets",
+                 "path", "retries", "windows")
 
     def __init__(self, path: Path, level: Level, windows: list[Window]) -> None:
         self.path, self.level, self.windows = path, level, windows
@@ -43,7 +43,7 @@
         self.borrowed: list[Window] = [Window(w.limit, w.span_us) for w in windows] if level.borrow else []
         self.debt_us = 0  # when the debts were last reduced
         self.last_request_us = -1  # time of the last request
-        self.open = 0  # tickets that are not settled
+        self.open_tickets = 0  # tickets that are not settled
         self.retries: PromisedRetries | None = None  # set by the first refusal of a job charged here
         self.children: dict[Path, Account] = {}  # those with recent requests, the latest last
 
@@ -53,7 +53,8 @@
             window.advance(now_us)
         if self.retries is not None:
             self.retries.expire(now_us)
-        return not (self.open or any(self.debt) or self.children or (self.retries and self.retries.times_us)
+        return not (self.open_tickets or any(self.debt) or self.children
+                    or (self.retries and self.retries.times_us)
                     or any(w.total for w in (*self.windows, *self.borrowed)))
 
     def rows(self) -> list[Any]:
--- a/arrowfold/quotas/borrowing.py
+++ b/arrowfold/quotas/borrowing.py
@@ -20,8 +20,8 @@
     """Whether a level may borrow for a cost beyond its own limit.
 
     The parent's window must hold the cost beside the unused shares of the active siblings, and the level's
-    loans must stay within its weighted part of the pool that is not assigned to any child. A retry at its
-    promised time (`due_retry`) may exceed that part.
+    loans must stay within its weighted part of the pool: the parent's limit less all active shares.
+    A retry at its promised time (`due_retry`) may exceed that part.
     """
     if not account.level.borrow:
         return False
--- a/arrowfold/quotas/gate.py
+++ b/arrowfold/quotas/gate.py
@@ -57,11 +57,11 @@
             Resource.REQUESTS: 1, Resource.WORKER_TIME: int(run_us * max(slots, 0.0)),
             Resource.FETCHES: FETCH_COST if key is not None else 0}, now // MICROSECOND, resent)
 
-    def fetches(self, server: str, key: str | None) -> int:
+    def fetches(self, worker: str, key: str | None) -> int:
         """Returns the cost in fetches of sending a key to a worker, by the keys recently sent to it."""
         if key is None:
             return 0
-        pair = server, key
+        pair = worker, key
         known = pair in self._recent_keys
         self._recent_keys[pair] = None
         self._recent_keys.move_to_end(pair)
--- a/arrowfold/quotas/ledger.py
+++ b/arrowfold/quotas/ledger.py
@@ -64,7 +64,7 @@
             return self._refuse(chain, full, costs, now_us)
         ticket = Ticket(path, request_class, now_us)
         for account in chain:
-            account.open += 1
+            account.open_tickets += 1
             for limit, window in zip(account.level.limits, account.windows, strict=True):
                 cost = costs.get(limit.resource, 0)
                 ticket.charges.append((account, window, window.charge(cost, now_us), limit.resource, cost))
@@ -75,7 +75,8 @@
         return ticket
 
     def _find_shortages(
-            self, chain: list[Account], costs: Costs, now_us: int, due_paths: Collection[Path], reserved: bool,
+            self, chain: list[Account], costs: Costs, now_us: int, due_paths: Collection[Path],
+            reserved: bool,
     ) -> tuple[list[tuple[Account, int, int]], list[tuple[Account, int]]]:
         """Returns what a job would have to borrow, as (account, limit's index, amount), and the full windows.
 
@@ -120,7 +121,7 @@
         ticket.settled = True
         now_us = self._advance_clock(now_us)
         for account in dict.fromkeys(account for account, *_ in ticket.charges):
-            account.open -= 1
+            account.open_tickets -= 1
         differences: dict[Resource, int] = {}
         for _, window, slot, resource, reserved in ticket.charges:
             difference = differences[resource] = min(max(used.get(resource, 0), 0), MOST_AMOUNT) - reserved
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -121,7 +121,7 @@
         ledger.settle(ticket, {}, now)
     ledger.now_us += 11 * SECOND
     for account in ledger.accounts.values():
-        assert account.open == 0
+        assert account.open_tickets == 0
         assert all(window.free_amount(ledger.now_us) == window.limit for window in account.windows)
 
 
