--- a/arrowfold/quotas/contradictions.py
+++ b/arrowfold/quotas/contradictions.py
@@ -35,8 +35,8 @@
                       if own.resource is limit.resource and own.per > _longest_window(level, limit.resource)]
             if limit.per == _longest_window(level, limit.resource):
                 for own in longer:
-                    yield (f"{where}/{child_name}: {own.words()}: a window longer than any of {where}'s, so "
-                           f"nothing of it can be borrowed or compared")
+                    yield (f"{where}/{child_name}: {own.words()}: a window longer than any of {where}'s, "
+                           f"so nothing of it can be borrowed or compared")
         shares = [(name, own) for name, child in sorted(level.children.items()) for own in child.limits
                   if own.resource is limit.resource and own.per == limit.per]
         if sum(own.amount for _, own in shares) > limit.amount:
