--- a/arrowfold/configuration/json_text.py
+++ b/arrowfold/configuration/json_text.py
@@ -21,19 +21,19 @@
 def _object_with_unique_keys(pairs: list[tuple[str, Any]]) -> JsonObject:
     members = dict(pairs)
     if len(members) != len(pairs):
-        raise _StrictJsonError("duplicate key in an object")
+        raise _StrictJsonError("an object names a key twice")
     return members
 
 
 def _parse_finite_float(text: str) -> float:
     number = float(text)
     if not math.isfinite(number):
-        raise _StrictJsonError("number out of range")
+        raise _StrictJsonError("a number is beyond the range")
     return number
 
 
 def _reject_constant(text: str) -> NoReturn:
-    raise _StrictJsonError(f"{text} is not valid JSON")
+    raise _StrictJsonError(f"{text} is no JSON")
 
 
 def read_object(body: bytes) -> Result[JsonObject, ConfigurationFault]:
--- a/arrowfold/configuration/validity.py
+++ b/arrowfold/configuration/validity.py
@@ -85,7 +85,7 @@
     for index, item in enumerate(items):
         first = positions.setdefault(item.name, index)
         if first != index:
-            return _invalid(f"{member}[{index}].name", f"{member}[{first}] has the same name")
+            return _invalid(f"{member}[{index}].name", f"{member}[{first}] has this name too")
     return None
 
 
@@ -104,7 +104,7 @@
         first = positions.setdefault((normalize_host(route.hostname), route.pathPrefix), index)
         if first != index:
             prefix = _quote(route.hostname + route.pathPrefix)
-            return _invalid(f"routes[{index}].pathPrefix", f"{prefix} is already used by routes[{first}]")
+            return _invalid(f"routes[{index}].pathPrefix", f"{prefix} is the place of routes[{first}] too")
     return None
 
 
@@ -116,7 +116,7 @@
             owner = owners.setdefault(key, index)
             if owner != index:
                 path = f"tenants[{index}].apiKeys[{position}]"
-                return _invalid(path, f"tenants[{owner}] has the same key")
+                return _invalid(path, f"tenants[{owner}] holds this key too")
     return None
 
 
--- a/arrowfold/controlplane/changes.py
+++ b/arrowfold/controlplane/changes.py
@@ -146,14 +146,14 @@
 
 
 def _too_large(size_bytes: int) -> ConfigurationFault:
-    text = f"{size_bytes} bytes of canonical JSON as stored or sent to edges; {MAX_DOCUMENT_BYTES} allowed"
+    text = f"{size_bytes} bytes without spaces, as stored or for edges; {MAX_DOCUMENT_BYTES} are the most"
     return ConfigurationFault(ResultCode.CONFIGURATION_TOO_LARGE, "", text)
 
 
 def _outcome_unknown() -> SubmitResult:
     return unavailable_result(
         ResultCode.CONFIGURATION_VERSION_CONFLICT,
-        "change is too old to know whether it was accepted: read the configuration and base the change on it",
+        "too old to tell whether it was taken: read, and build on that",
     )
 
 
@@ -162,7 +162,7 @@
 
 
 def _no_answer_result() -> SubmitResult:
-    return unavailable_result(ResultCode.REPLICATION_TIMEOUT, "no primary acknowledged the call in time")
+    return unavailable_result(ResultCode.REPLICATION_TIMEOUT, "no primary acknowledged it in time")
 
 
 def _decide_read(state: ControlState) -> Proposal[SubmitResult]:
--- a/arrowfold/controlplane/registration.py
+++ b/arrowfold/controlplane/registration.py
@@ -129,11 +129,7 @@
             if notice.state == GONE and self._registry.departed(notice.instance):
                 self._on_change()
             return Ok(None)
-        return Err(
-            RegistrationFault(
-                ResultCode.REGISTRATION_NOT_DURABLE, "no primary committed the departure in time"
-            )
-        )
+        return Err(RegistrationFault(ResultCode.REGISTRATION_NOT_DURABLE, "no primary committed it in time"))
 
     async def on_departure(self, notice: SubmitDeparture) -> Acknowledgement | CallFailed:
         """On the primary: commits a departure notice."""
--- a/arrowfold/controlplane/usage_decisions.py
+++ b/arrowfold/controlplane/usage_decisions.py
@@ -56,7 +56,7 @@
                 return Proposal(_settled_window(state.usage, request.window))
             tenure = state.roles.get(USAGE_ROLE)
             if tenure is None or tenure.token != request.token:
-                return Proposal(CallFailed(ResultCode.EPOCH_STALE, "the duty is held under another token"))
+                return Proposal(CallFailed(ResultCode.EPOCH_STALE, "another holds the duty"))
             entry = UsageWindowDecided(request.window, request.counts)
             return Proposal(DecidedUsageWindow(request.window, request.counts), entry)
 
--- a/arrowfold/internal/codec.py
+++ b/arrowfold/internal/codec.py
@@ -43,7 +43,7 @@
 def _encode_message(encoder: Any, value: Any) -> None:
     tag = _tags_by_type.get(type(value))
     if tag is None:
-        raise CodecError(f"{type(value).__name__} is not a registered message")
+        raise CodecError(f"{type(value).__name__} is no registered message")
     encoder.encode(cbor2.CBORTag(tag, [getattr(value, name) for name in _field_names[type(value)]]))
 
 
--- a/arrowfold/market/blocks.py
+++ b/arrowfold/market/blocks.py
@@ -74,7 +74,7 @@
         """Removes an item. Raises ValueError if it is in no sequence."""
         block: list[T] = item.block  # type: ignore[assignment]
         if block is None:
-            raise ValueError("item is in no sequence")
+            raise ValueError("it stands in no sequence")
         block.remove(item)
         item.block = None
         self._count -= 1
--- a/arrowfold/replication/durable.py
+++ b/arrowfold/replication/durable.py
@@ -95,7 +95,7 @@
             async with asyncio.timeout(timeout_s):
                 return await asyncio.shield(task)
         except TimeoutError:
-            return Err(StorageFault(f"the disk did not complete a write within {timeout_s} s"))
+            return Err(StorageFault(f"the disk did not answer in {timeout_s} s"))
 
     async def _change(
         self,
@@ -128,7 +128,7 @@
         except OSError as error:
             self._broken = True
             self._unwritten = [*notes, *self._unwritten]
-            return Err(StorageFault(f"a write to the disk failed: {error}"))
+            return Err(StorageFault(f"the disk refused a write: {error}"))
         self.confirmed_epoch = max((self.confirmed_epoch, *(note.epoch for note in notes)))
         return Ok(None)
 
--- a/arrowfold/replication/member.py
+++ b/arrowfold/replication/member.py
@@ -120,9 +120,9 @@
         if request.epoch <= self.highest_epoch and not is_repeat:
             return f"epoch {self.highest_epoch} is promised"
         if self.clock() < self._lease_until and self._lease_holder != request.candidate.member:
-            return f"the lease of {self._lease_holder} has not expired"
+            return f"the lease of {self._lease_holder} holds"
         if not self.durable.is_healthy(self.timings.disk_s):
-            return "the disk is unhealthy"
+            return "the disk is in trouble"
         return None
 
     def _prepare_answer(self, reason: str | None) -> PrepareAnswer:
@@ -184,7 +184,7 @@
             if (image.promised, image.promised_to) != (request.epoch, request.candidate):
                 return _refuse(f"epoch {image.promised} is promised to {image.promised_to}")
             if request.state is None and image.position != request.position:
-                return _refuse(f"the stored state is at {image.position}")
+                return _refuse(f"the state here is at {image.position}")
             return Ok(StateInstalled(request.epoch, request.position.epoch, request.state))
 
         return await self._write_durably(decide)
@@ -223,7 +223,7 @@
             if record is None or record.epoch != request.epoch or self.highest_epoch != request.epoch:
                 return _refuse(f"epoch {self.highest_epoch} is promised")
             if image.state_epoch != request.epoch or image.position != request.previous:
-                return _refuse(f"the stored state is at {image.position}")
+                return _refuse(f"the state here is at {image.position}")
             return Ok(EntriesAppended(request.epoch, request.entries))
 
         return await self._write_durably(decide)
