--- a/arrowfold/programs/__init__.py
+++ b/arrowfold/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs of the system, thin: each assembles the library of its plane."""
+"""Entry points of the system's programs; each one assembles the libraries of its plane."""
--- a/arrowfold/programs/control.py
+++ b/arrowfold/programs/control.py
@@ -21,10 +21,10 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run a control node until it is told to end; returns the exit code."""
+    """Run a control node until SIGTERM or SIGINT; returns the exit code."""
     signals = ProcessSignals()
     signals.guard()
-    from docopt import docopt  # loaded behind the guard, as all that takes time
+    from docopt import docopt  # imported once signals are handled, as its import takes time
 
     options = docopt(__doc__, argv=arguments)
     with loading_libraries():
--- a/arrowfold/programs/control_assembly.py
+++ b/arrowfold/programs/control_assembly.py
@@ -1,4 +1,7 @@
-"""The control program: all that takes long to load."""
+"""Assembles and runs the control node.
+
+Imported only once the process handles its signals, because its imports take long.
+"""
 
 from __future__ import annotations
 
@@ -13,24 +16,24 @@
 from arrowfold.node.result_codes import ResultCode
 from arrowfold.node.traces import TraceWriter
 from arrowfold.programs.policy_options import load_policy_options
-from arrowfold.programs.startup import open_settings, refuse, run_node
+from arrowfold.programs.startup import open_settings, report_startup_error, run_node
 
 
 def run_control(options: dict[str, Any], signals: ProcessSignals) -> int:
-    """Run a control node with the options of the command line; returns the exit code."""
+    """Run a control node with the parsed command-line options; returns the exit code."""
     configure(options["--log-level"], options["--json-log"])
-    opened = open_settings(options["--settings"])
-    if isinstance(opened, Err):
-        return refuse(opened.err_value)
+    loaded = open_settings(options["--settings"])
+    if isinstance(loaded, Err):
+        return report_startup_error(loaded.err_value)
     policy = load_policy_options(options["--policy"])
     if isinstance(policy, Err):
-        return refuse(f"error {int(ResultCode.POLICY_INVALID)}: {policy.err_value}")
-    file = opened.ok_value
-    traces = TraceWriter(file.settings.nodeName) if options["--trace"] else None
+        return report_startup_error(f"error {int(ResultCode.POLICY_INVALID)}: {policy.err_value}")
+    settings_file = loaded.ok_value
+    traces = TraceWriter(settings_file.settings.nodeName) if options["--trace"] else None
     placement, scaling = policy.ok_value.placement, policy.ok_value.scaling
 
     def make_node(log: RateLimitedLog) -> ControlNode:
-        return ControlNode(file.settings, log, placement, traces, scaling)
+        return ControlNode(settings_file.settings, log, placement, traces, scaling)
 
-    asyncio.run(run_node(file, make_node, signals))
+    asyncio.run(run_node(settings_file, make_node, signals))
     return 0
--- a/arrowfold/programs/edge.py
+++ b/arrowfold/programs/edge.py
@@ -22,14 +22,14 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run an edge node until it is told to end; returns the exit code."""
+    """Run an edge node until SIGTERM or SIGINT; returns the exit code."""
     signals = ProcessSignals()
     signals.guard()
-    from docopt import docopt  # loaded behind the guard, as all that takes time
+    from docopt import docopt  # imported once signals are handled, as its import takes time
 
     options = docopt(__doc__, argv=arguments)
     listeners = open_listeners(options["--settings"], signals.defer_termination)
-    # What follows takes a good part of a second to load; connections that come meanwhile wait.
+    # These imports take a considerable part of a second; connections that arrive meanwhile wait.
     with loading_libraries():
         from arrowfold.programs.edge_assembly import run_edge
 
--- a/arrowfold/programs/policy_options.py
+++ b/arrowfold/programs/policy_options.py
@@ -1,7 +1,8 @@
-"""The policy file: options of selection, placement, data plane and scaling that an operator may set.
+"""Loads and validates the policy file: operators' options of selection, placement, data plane and scaling.
 
-A TOML file with the tables `selection`, `placement.*`, `data_plane` and `scaling`; what it leaves out has its
-default. pydantic is imported only where a file is named, since it takes a good part of a program's start.
+The file is TOML with the tables `selection`, `placement.*`, `data_plane` and `scaling`; an option that is
+left out has its default. pydantic is imported only if a policy file is given, because its import takes a
+considerable part of a program's start-up time.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from arrowfold.scaling.options import ScalingOptions
 from arrowfold.selection.options import SelectionOptions
 
-DIVISORS = frozenset(  # figures by which something is divided: 0 is impossible for them
+DIVISORS = frozenset(  # options that are used as divisors, so 0 is invalid
     {
         "adapter_workload",
         "delay_half_life_s",
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyOptions:
-    """All options of all policies."""
+    """The options of all policies, by table of the policy file."""
 
     selection: SelectionOptions = field(default_factory=SelectionOptions)
     placement: PlacementOptions = field(default_factory=PlacementOptions)
@@ -49,35 +50,41 @@
     scaling: ScalingOptions = field(default_factory=ScalingOptions)
 
 
-def load_policy_options(named: str | None) -> Result[PolicyOptions, str]:
-    """The options of a file, the defaults where none is named, or one line that says what is wrong."""
-    if named is None:
+def load_policy_options(path_option: str | None) -> Result[PolicyOptions, str]:
+    """Loads the policy file at `path_option`, or returns the defaults if it is None.
+
+    The error is one line of text that starts with the path.
+    """
+    if path_option is None:
         return Ok(PolicyOptions())
     try:
-        document = tomllib.loads(Path(named).read_text(encoding="utf-8"))
+        document = tomllib.loads(Path(path_option).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        return Err(f"{named}: {error}")
-    return read_policy_options(document).map_err(lambda reason: f"{named}: {reason}")
+        return Err(f"{path_option}: {error}")
+    return read_policy_options(document).map_err(lambda reason: f"{path_option}: {reason}")
 
 
 def read_policy_options(document: Mapping[str, Any]) -> Result[PolicyOptions, str]:
-    """Check a whole document: unknown keys, wrong types and impossible figures are errors."""
+    """Validates a parsed document; unknown keys, wrong types and numbers out of range are errors.
+
+    The error is one line of text that names the first invalid option by its path in the document.
+    """
     from pydantic import TypeAdapter, ValidationError
 
-    unknown = next(_unknown_keys(PolicyOptions(), document, ""), None)
-    if unknown is not None:
-        return Err(f"{unknown}: there is no such option")
+    unknown_key = next(_unknown_keys(PolicyOptions(), document, ""), None)
+    if unknown_key is not None:
+        return Err(f"{unknown_key}: there is no such option")
     try:
         options = TypeAdapter[PolicyOptions](PolicyOptions).validate_python(document)
     except ValidationError as error:
-        first = error.errors()[0]
-        return Err(f"{'.'.join(map(str, first['loc']))}: {first['msg']}")
-    impossible = next(_impossible_figures(options, ""), None)
-    return Ok(options) if impossible is None else Err(impossible)
+        first_error = error.errors()[0]
+        return Err(f"{'.'.join(map(str, first_error['loc']))}: {first_error['msg']}")
+    range_error = next(_out_of_range_errors(options, ""), None)
+    return Ok(options) if range_error is None else Err(range_error)
 
 
 def _unknown_keys(defaults: Any, document: Any, path: str) -> Iterator[str]:
-    """The keys that name no option, with their tables."""
+    """Yields the dotted path of each key that is not an option."""
     if not isinstance(document, Mapping):
         return
     names = {item.name for item in dataclasses.fields(defaults)}
@@ -88,16 +95,16 @@
             yield from _unknown_keys(nested, value, f"{path}{key}.")
 
 
-def _impossible_figures(options: Any, path: str) -> Iterator[str]:
-    """What is wrong with figures that have the right type: negative, endless, or 0 as a divisor."""
+def _out_of_range_errors(options: Any, path: str) -> Iterator[str]:
+    """Yields an error text for each number that is negative, infinite or NaN, or 0 as a divisor."""
     for item in dataclasses.fields(options):
         value = getattr(options, item.name)
         if dataclasses.is_dataclass(value):
-            yield from _impossible_figures(value, f"{path}{item.name}.")
+            yield from _out_of_range_errors(value, f"{path}{item.name}.")
             continue
-        figures = value if isinstance(value, tuple) else (value,)
-        for figure in figures:
-            if not isinstance(figure, bool) and not (math.isfinite(figure) and figure >= 0):
-                yield f"{path}{item.name}: {figure} is not a figure of 0 or more"
-            elif item.name in DIVISORS and figure == 0:
+        numbers = value if isinstance(value, tuple) else (value,)
+        for number in numbers:
+            if not isinstance(number, bool) and not (math.isfinite(number) and number >= 0):
+                yield f"{path}{item.name}: {number} is not a figure of 0 or more"
+            elif item.name in DIVISORS and number == 0:
                 yield f"{path}{item.name}: must be more than 0"
--- a/arrowfold/programs/startup.py
+++ b/arrowfold/programs/startup.py
@@ -1,4 +1,7 @@
-"""What both programs do around their node: find the settings file, follow it, obey signals, end in order."""
+"""Start-up and shutdown common to the edge and the control program.
+
+Finds and loads the settings file, runs the node, applies changed settings, and stops the node on a signal.
+"""
 
 from __future__ import annotations
 
@@ -17,34 +20,40 @@
 from arrowfold.node.settings import NodeSettings, load_settings
 from arrowfold.node.settings_path import SETTINGS_VARIABLE, settings_path
 
-EXIT_FAULTY = 2  # exit code where the settings file or the command line is at fault
-SETTINGS_CHECK_INTERVAL_S = 1.0  # between looks at a settings file that may change without a signal
+EXIT_INVALID_INPUT = 2  # exit code for an invalid settings file, policy file or command line
+SETTINGS_CHECK_INTERVAL_S = 1.0  # between checks of the settings file, which may change without a SIGHUP
 
 
 class RunnableNode(Protocol):
-    """An edge or a control node."""
+    """The interface that an edge node and a control node share."""
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start serving."""
 
     async def stop(self, told_ago_s: float = 0.0) -> None:
-        """End in order, within the grace time of the settings; `told_ago_s` of it has passed already."""
+        """Shut down gracefully within the grace period of the settings.
+
+        `told_ago_s` is the part of the grace period that has already passed, in seconds.
+        """
 
     def apply_settings(self, settings: NodeSettings) -> None:
-        """Take a settings file that has changed."""
+        """Apply the contents of a changed settings file."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsFile:
-    """A settings file and what it held at the start."""
+    """The path of a settings file and the settings that were read from it at the start."""
 
     path: Path
     settings: NodeSettings
 
 
-def open_settings(named: str | None = None) -> Result[SettingsFile, str]:
-    """The settings file that is named, else that of the environment; or one line that says what is wrong."""
-    path = settings_path(named)
+def open_settings(path_option: str | None = None) -> Result[SettingsFile, str]:
+    """Loads the settings file at `path_option`, or else the one that ARROWFOLD_NODE_FILE names.
+
+    The error is one line of text that starts with the result code.
+    """
+    path = settings_path(path_option)
     if path is None:
         return Err(f"error {int(ResultCode.USAGE)}: {SETTINGS_VARIABLE} names no settings file")
     loaded = load_settings(path)
@@ -53,29 +62,31 @@
     return Ok(SettingsFile(path, loaded.ok_value))
 
 
-def refuse(text: str) -> int:
-    """Print one line on standard error; returns the exit code."""
-    print(text, file=sys.stderr)
-    return EXIT_FAULTY
+def report_startup_error(message: str) -> int:
+    """Print the message on standard error; returns the exit code for invalid input."""
+    print(message, file=sys.stderr)
+    return EXIT_INVALID_INPUT
 
 
 async def run_node(
-    file: SettingsFile, make_node: Callable[[RateLimitedLog], RunnableNode], signals: ProcessSignals
+    settings_file: SettingsFile, make_node: Callable[[RateLimitedLog], RunnableNode], signals: ProcessSignals
 ) -> None:
-    """Run a node until SIGTERM or SIGINT; SIGHUP and a changed file bring new settings.
+    """Run a node until SIGTERM or SIGINT; SIGHUP or a changed file reloads the settings.
 
-    A SIGTERM that came while the program was loading ends the node as soon as it has started.
+    A SIGTERM that arrived while the program was loading stops the node as soon as it has started.
     """
-    log = RateLimitedLog(file.settings.nodeName)
+    log = RateLimitedLog(settings_file.settings.nodeName)
     node = make_node(log)
     terminated, hangup = asyncio.Event(), asyncio.Event()
     signals.listen(asyncio.get_running_loop(), terminated.set, hangup.set)
     await node.start()
-    log.info("started", zone=file.settings.zone)
-    following = asyncio.create_task(follow_settings(file.path, hangup, node.apply_settings, log))
+    log.info("started", zone=settings_file.settings.zone)
+    settings_follower = asyncio.create_task(
+        follow_settings(settings_file.path, hangup, node.apply_settings, log)
+    )
     await terminated.wait()
     log.info("stopping")
-    following.cancel()
+    settings_follower.cancel()
     await node.stop(signals.termination_age_s() or 0.0)
     log.info("stopped")
 
@@ -83,20 +94,20 @@
 async def follow_settings(
     path: Path, hangup: asyncio.Event, apply: Callable[[NodeSettings], None], log: RateLimitedLog
 ) -> None:
-    """Read the file again once `hangup` is set and whenever it has changed; a bad file changes nothing."""
-    seen = _fingerprint(path)
+    """Reload the file when `hangup` is set or the file has changed; an invalid file is logged and ignored."""
+    last_fingerprint = _fingerprint(path)
     while True:
         try:
             async with asyncio.timeout(SETTINGS_CHECK_INTERVAL_S):
                 await hangup.wait()
         except TimeoutError:
             pass
-        signalled = hangup.is_set()
+        was_signalled = hangup.is_set()
         hangup.clear()
-        current = _fingerprint(path)
-        if not signalled and current == seen:
+        fingerprint = _fingerprint(path)
+        if not was_signalled and fingerprint == last_fingerprint:
             continue
-        seen = current
+        last_fingerprint = fingerprint
         loaded = load_settings(path)
         if isinstance(loaded, Err):
             log.warning("settings_refused", reason=str(loaded.err_value))
@@ -105,7 +116,7 @@
 
 
 def _fingerprint(path: Path) -> tuple[int, int]:
-    """When the file was changed (ns) and its size; zeros where there is none."""
+    """Returns the modification time (ns) and the size (bytes) of the file, or zeros if it can't be read."""
     try:
         status = path.stat()
     except OSError:
--- a/arrowfold/programs/state.py
+++ b/arrowfold/programs/state.py
@@ -44,40 +44,41 @@
 from arrowfold.storage.folders import OsFolder
 from arrowfold.storage.log import read_log
 
-PASSED = 0
-DAMAGED = 1
-FAULTY_INPUT = 2
-READ_ATTEMPTS = 3  # a running node may start its next segment between two reads
+EXIT_SUCCESS = 0
+EXIT_DAMAGED = 1
+EXIT_INVALID_INPUT = 2
+READ_ATTEMPTS = 3  # a running node may start its next log segment between two file reads
 
 
 def main(arguments: list[str]) -> int:
-    """Obey the arguments after `arrowfold state`; returns the exit code."""
+    """Run the command given by the arguments after `arrowfold state`; returns the exit code."""
     try:
         options = docopt(__doc__, argv=["state", *arguments])
     except DocoptExit:
-        return _refuse(ResultCode.USAGE, "not understood; see arrowfold state --help")
+        return _report_error(ResultCode.USAGE, "not understood; see arrowfold state --help")
     if options["found-anew"]:
-        return _found_anew(Path(options["FILE"]), Path(options["--settings"]), options["--accept-loss"])
+        return _bootstrap_group(Path(options["FILE"]), Path(options["--settings"]), options["--accept-loss"])
     path = Path(options["DIR"])
     if not path.is_dir():
-        return _refuse(ResultCode.USAGE, f"{path}: no such folder")
+        return _report_error(ResultCode.USAGE, f"{path}: no such folder")
     commands: dict[str, Callable[[Identity, MemberImage], int]] = {
         "inspect": _inspect,
         "verify": _verify,
-        "export": lambda identity, image: _export(identity, image, options["--whole"]),
+        "export": lambda identity, persisted: _export(identity, persisted, options["--whole"]),
     }
-    command = next(act for name, act in commands.items() if options[name])
+    command = next(command for name, command in commands.items() if options[name])
     try:
-        identity, image = _read(OsFolder(path))
+        identity, persisted = _read_persisted_state(OsFolder(path))
     except DamagedStorage as damage:
         print(f"arrowfold: error {int(ResultCode.STATE_DAMAGED)} STATE_DAMAGED: {damage}", file=sys.stderr)
-        return DAMAGED
+        return EXIT_DAMAGED
     if identity is None:
-        return _refuse(ResultCode.USAGE, f"{path}: holds no control state")
-    return command(identity, image)
+        return _report_error(ResultCode.USAGE, f"{path}: holds no control state")
+    return command(identity, persisted)
 
 
-def _read(folder: OsFolder) -> tuple[Identity | None, MemberImage]:
+def _read_persisted_state(folder: OsFolder) -> tuple[Identity | None, MemberImage]:
+    """Read the folder, again if its node changes it meanwhile; raises DamagedStorage or FileNotFoundError."""
     for attempt in range(READ_ATTEMPTS):
         try:
             return read_identity(folder), image_of(read_log(folder))
@@ -87,69 +88,72 @@
     raise AssertionError("unreachable")
 
 
-def _inspect(identity: Identity, image: MemberImage) -> int:
+def _inspect(identity: Identity, persisted: MemberImage) -> int:
     print(f"member {identity.member}{' (founder)' if identity.founder else ''}")
-    print(f"promised epoch {image.promised} to {image.promised_to or 'nobody'}")
-    record = image.record
+    print(f"promised epoch {persisted.promised} to {persisted.promised_to or 'nobody'}")
+    record = persisted.record
     if record is not None:
-        known = "chosen" if image.confirmed else "accepted"
-        print(f"epoch {record.epoch} ({known}): primary {record.primary}")
+        status = "chosen" if persisted.confirmed else "accepted"
+        print(f"epoch {record.epoch} ({status}): primary {record.primary}")
         for witness in record.witnesses:
-            place = "group" if witness.member in record.group else "witness"
-            print(f"  {witness.member} {witness.name} {witness.address} {place}")
-    state = image.state
-    print(f"state of epoch {image.state_epoch}, position {image.position_epoch}.{state.sequence}")
+            kind = "group" if witness.member in record.group else "witness"
+            print(f"  {witness.member} {witness.name} {witness.address} {kind}")
+    state = persisted.state
+    print(f"state of epoch {persisted.state_epoch}, position {persisted.position_epoch}.{state.sequence}")
     size = len(state.configuration) if state.configuration is not None else 0
     print(f"configuration version {state.configuration_version}, {size} bytes")
     print(f"accepted changes remembered {len(state.accepted)}, departures {len(state.departures)}")
     for role, tenure in sorted(state.roles.items()):
         print(f"role {role}: {tenure.member}, token {tenure.token}")
-    return PASSED
+    return EXIT_SUCCESS
 
 
-def _verify(identity: Identity, image: MemberImage) -> int:
-    print(f"member {identity.member}: everything reads back, position {image.state.sequence}")
-    return PASSED
+def _verify(identity: Identity, persisted: MemberImage) -> int:
+    print(f"member {identity.member}: everything reads back, position {persisted.state.sequence}")
+    return EXIT_SUCCESS
 
 
-def _export(identity: Identity, image: MemberImage, whole: str | None) -> int:
-    if whole is not None:
-        Path(whole).write_bytes(export_state(identity.member, image))
-        print(f"{whole}: position {image.state.sequence} of member {identity.member}")
-        return PASSED
-    if image.state.configuration is None:
-        return _refuse(ResultCode.CONFIGURATION_ABSENT, "no configuration in this state")
-    sys.stdout.write(image.state.configuration.decode() + "\n")
-    return PASSED
+def _export(identity: Identity, persisted: MemberImage, state_file: str | None) -> int:
+    """Write the whole state to `state_file`, or the configuration to standard output if it is None."""
+    if state_file is not None:
+        Path(state_file).write_bytes(export_state(identity.member, persisted))
+        print(f"{state_file}: position {persisted.state.sequence} of member {identity.member}")
+        return EXIT_SUCCESS
+    if persisted.state.configuration is None:
+        return _report_error(ResultCode.CONFIGURATION_ABSENT, "no configuration in this state")
+    sys.stdout.write(persisted.state.configuration.decode() + "\n")
+    return EXIT_SUCCESS
 
 
-def _found_anew(source: Path, settings_file: Path, accepts_loss: bool) -> int:
+def _bootstrap_group(source: Path, settings_file: Path, accepts_loss: bool) -> int:
+    """Bootstrap a new group from an exported state; without `accepts_loss`, only describe that state."""
     if not source.is_file():
-        return _refuse(ResultCode.USAGE, f"{source}: no such file")
+        return _report_error(ResultCode.USAGE, f"{source}: no such file")
     loaded = load_settings(settings_file)
     if isinstance(loaded, Err):
-        return _refuse(ResultCode.SETTINGS_INVALID, str(loaded.err_value))
+        return _report_error(ResultCode.SETTINGS_INVALID, str(loaded.err_value))
     settings = loaded.ok_value
     if settings.dataDirectory is None:
-        return _refuse(ResultCode.SETTINGS_INVALID, f"{settings_file}: dataDirectory is missing")
+        return _report_error(ResultCode.SETTINGS_INVALID, f"{settings_file}: dataDirectory is missing")
     exported = read_export(source.read_bytes(), source.name)
     if isinstance(exported, Err):
-        return _refuse(ResultCode.STATE_DAMAGED, str(exported.err_value))
+        return _report_error(ResultCode.STATE_DAMAGED, str(exported.err_value))
     state = exported.ok_value.state
     print(
         f"{source}: configuration version {state.configuration_version}, position {state.sequence}, "
         f"epoch {exported.ok_value.epoch}, of member {exported.ok_value.member}"
     )
     if not accepts_loss:
-        return _refuse(
+        return _report_error(
             ResultCode.USAGE,
             "nothing founded: what the lost group acknowledged beyond this needs --accept-loss",
         )
-    return _write_founder(exported.ok_value, settings, settings.dataDirectory)
+    return _create_first_member(exported.ok_value, settings, settings.dataDirectory)
 
 
-def _write_founder(exported: ExportedState, settings: NodeSettings, directory: str) -> int:
-    founder = MemberInfo(
+def _create_first_member(exported: ExportedState, settings: NodeSettings, directory: str) -> int:
+    """Write the exported state to an empty data directory, as the first member of a new group."""
+    member = MemberInfo(
         secrets.token_hex(8),
         settings.nodeName,
         settings.internal_address,
@@ -157,13 +161,14 @@
         settings.zone,
     )
     Path(directory).mkdir(parents=True, exist_ok=True)
-    founded = found_anew(OsFolder(Path(directory)), exported, founder)
-    if isinstance(founded, Err):
-        return _refuse(ResultCode.USAGE, f"{directory}: {founded.err_value}")
-    print(f"{directory}: member {founder.member}, epoch {founded.ok_value.promised}; start its node next")
-    return PASSED
+    written = found_anew(OsFolder(Path(directory)), exported, member)
+    if isinstance(written, Err):
+        return _report_error(ResultCode.USAGE, f"{directory}: {written.err_value}")
+    print(f"{directory}: member {member.member}, epoch {written.ok_value.promised}; start its node next")
+    return EXIT_SUCCESS
 
 
-def _refuse(code: ResultCode, text: str) -> int:
-    print(f"arrowfold: error {int(code)} {code.name}: {text}", file=sys.stderr)
-    return FAULTY_INPUT
+def _report_error(code: ResultCode, message: str) -> int:
+    """Print one line on standard error; returns the exit code for invalid input."""
+    print(f"arrowfold: error {int(code)} {code.name}: {message}", file=sys.stderr)
+    return EXIT_INVALID_INPUT
--- a/arrowfold/programs/system.py
+++ b/arrowfold/programs/system.py
@@ -39,19 +39,19 @@
     from arrowfold.configuration.documents import RouteDocument
     from arrowfold.explain.summary import Worth
 
-PASSED = 0
-FAULT_SEEN = 1
-FAULTY_INPUT = 2
-MOST_EDGES = 20
-MOST_REQUESTS = 1000
+EXIT_SUCCESS = 0
+EXIT_TRIAL_FAILED = 1
+EXIT_INVALID_INPUT = 2
+MAX_EDGES = 20
+MAX_REQUESTS = 1000
 
 
 def main(arguments: list[str]) -> int:
-    """Obey the arguments after `arrowfold system`; returns the exit code."""
+    """Run the command given by the arguments after `arrowfold system`; returns the exit code."""
     try:
         options = docopt(__doc__, argv=["system", *arguments])
     except DocoptExit:
-        return _refuse(ResultCode.USAGE, "not understood; see arrowfold system --help")
+        return _report_error(ResultCode.USAGE, "not understood; see arrowfold system --help")
     files = [Path(name) for name in options["FILE"]]
     if options["check-settings"]:
         return check_settings(files[0])
@@ -61,117 +61,122 @@
         return check_policy(files[0])
     if options["explain"]:
         return explain(files, options["--worth"])
-    edges = _whole_number(options["--edges"], MOST_EDGES)
-    requests = _whole_number(options["--requests"], MOST_REQUESTS)
+    edges = _parse_count(options["--edges"], MAX_EDGES)
+    requests = _parse_count(options["--requests"], MAX_REQUESTS)
     if edges is None:
-        return _refuse(ResultCode.USAGE, f"--edges: a number from 1 to {MOST_EDGES}")
+        return _report_error(ResultCode.USAGE, f"--edges: a number from 1 to {MAX_EDGES}")
     if requests is None:
-        return _refuse(ResultCode.USAGE, f"--requests: a number from 1 to {MOST_REQUESTS}")
+        return _report_error(ResultCode.USAGE, f"--requests: a number from 1 to {MAX_REQUESTS}")
     return try_system(edges, requests)
 
 
 def try_system(edges: int, requests: int) -> int:
-    """Run the whole system on loopback and print what was served."""
+    """Run the whole system on loopback and print what was served; returns the exit code."""
     from arrowfold.standins.system_trial import run_trial
 
     report = run_trial(edges, requests, print)
-    return PASSED if report.passed else FAULT_SEEN
+    return EXIT_SUCCESS if report.passed else EXIT_TRIAL_FAILED
 
 
 def check_settings(path: Path) -> int:
-    """Check a settings file, and say what the process would do with it."""
+    """Validate a settings file and print a summary of it; returns the exit code."""
     from arrowfold.node.settings import load_settings
 
     loaded = load_settings(path)
     if isinstance(loaded, Err):
-        return _refuse(ResultCode.SETTINGS_INVALID, str(loaded.err_value))
+        return _report_error(ResultCode.SETTINGS_INVALID, str(loaded.err_value))
     settings = loaded.ok_value
     serves = ", ".join(settings.serves) or "nothing"
     print(f"{path}: node {settings.nodeName} in zone {settings.zone}, serves {serves}")
     print(f"  internal protocol at {settings.internal_address}, {len(settings.seedNodes)} seed nodes")
     losses = settings.faultTolerance.machineLosses
     print(f"  disk: {settings.dataDirectory or 'none'}; machine losses borne: {losses}")
-    return PASSED
+    return EXIT_SUCCESS
 
 
 def check_configuration(path: Path) -> int:
-    """Check an operator's configuration, and say what it holds."""
+    """Validate an operator's configuration and print a summary of it; returns the exit code."""
     from arrowfold.configuration.validity import parse_configuration
 
     try:
         body = path.read_bytes()
     except OSError as error:
-        return _refuse(ResultCode.CONFIGURATION_UNREADABLE, f"{path}: can't be read: {error}")
+        return _report_error(ResultCode.CONFIGURATION_UNREADABLE, f"{path}: can't be read: {error}")
     parsed = parse_configuration(body)
     if isinstance(parsed, Err):
         fault = parsed.err_value
-        place = f"{fault.path}: " if fault.path else ""
-        return _refuse(fault.code, f"{path}: {place}{fault.text}")
+        location = f"{fault.path}: " if fault.path else ""
+        return _report_error(fault.code, f"{path}: {location}{fault.text}")
     document = parsed.ok_value
     routes, services = len(document.routes), len(document.services)
     print(f"{path}: version {document.version}, {routes} routes, {services} services")
     for service in document.services:
-        routed = sum(service.name in _targets(route) for route in document.routes)
-        models = len(service.engine.models) if service.engine else 0
-        print(f"  service {service.name}: {routed} routes, {models} models")
-    return PASSED
+        route_count = sum(service.name in _target_services(route) for route in document.routes)
+        model_count = len(service.engine.models) if service.engine else 0
+        print(f"  service {service.name}: {route_count} routes, {model_count} models")
+    return EXIT_SUCCESS
 
 
 def check_policy(path: Path) -> int:
-    """Check a policy file."""
+    """Validate a policy file; returns the exit code."""
     from arrowfold.programs.policy_options import load_policy_options
 
     loaded = load_policy_options(str(path))
     if isinstance(loaded, Err):
-        return _refuse(ResultCode.POLICY_INVALID, loaded.err_value)
+        return _report_error(ResultCode.POLICY_INVALID, loaded.err_value)
     print(f"{path}: every option is known and possible")
-    return PASSED
+    return EXIT_SUCCESS
 
 
 def explain(paths: list[Path], worth_list: str | None) -> int:
-    """Sum up the trace records of these logs."""
+    """Print a summary of the trace records in these logs; returns the exit code.
+
+    `worth_list` is the text of the option --worth.
+    """
     from arrowfold.explain.records import read_records
     from arrowfold.explain.summary import summary_lines
 
-    worths = _worths(worth_list or "")
-    if worths is None:
-        return _refuse(ResultCode.USAGE, "--worth: a list like 0=3/0.3,1=2/0.2")
+    values_by_priority = _parse_values(worth_list or "")
+    if values_by_priority is None:
+        return _report_error(ResultCode.USAGE, "--worth: a list like 0=3/0.3,1=2/0.2")
     lines: list[str] = []
     for path in paths:
         try:
             lines += path.read_text(encoding="utf-8", errors="replace").splitlines()
         except OSError as error:
-            return _refuse(ResultCode.USAGE, f"{path}: can't be read: {error}")
-    for line in summary_lines(read_records(lines), worths):
+            return _report_error(ResultCode.USAGE, f"{path}: can't be read: {error}")
+    for line in summary_lines(read_records(lines), values_by_priority):
         print(line)
-    return PASSED
+    return EXIT_SUCCESS
 
 
-def _worths(text: str) -> dict[int, Worth] | None:
-    """Worths by priority; None if the list can't be understood."""
+def _parse_values(text: str) -> dict[int, Worth] | None:
+    """Parses `priority=in time/late,...` to values by priority; returns None if the text is malformed."""
     from arrowfold.explain.summary import Worth
 
-    worths = {}
+    values = {}
     for item in filter(None, text.split(",")):
-        priority, _, worth = item.partition("=")
-        whole, _, late = worth.partition("/")
+        priority, _, pair = item.partition("=")
+        in_time, _, late = pair.partition("/")
         try:
-            worths[int(priority)] = Worth(float(whole), float(late))
+            values[int(priority)] = Worth(float(in_time), float(late))
         except ValueError:
             return None
-    return worths
+    return values
 
 
-def _targets(route: RouteDocument) -> set[str | None]:
+def _target_services(route: RouteDocument) -> set[str | None]:
     if route.trafficSplit is not None:
         return {part.targetService for part in route.trafficSplit}
     return {route.targetService}
 
 
-def _whole_number(text: str, most: int) -> int | None:
-    return int(text) if text.isdecimal() and 1 <= int(text) <= most else None
+def _parse_count(text: str, maximum: int) -> int | None:
+    """Parses a decimal number from 1 to `maximum`; returns None for any other text."""
+    return int(text) if text.isdecimal() and 1 <= int(text) <= maximum else None
 
 
-def _refuse(code: ResultCode, text: str) -> int:
-    print(f"arrowfold: error {int(code)} {code.name}: {text}", file=sys.stderr)
-    return FAULTY_INPUT
+def _report_error(code: ResultCode, message: str) -> int:
+    """Print one line on standard error; returns the exit code for invalid input."""
+    print(f"arrowfold: error {int(code)} {code.name}: {message}", file=sys.stderr)
+    return EXIT_INVALID_INPUT
