--- a/arrowfold/standins/__init__.py
+++ b/arrowfold/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the project's own: what a node talks to, and the node as a process."""
+"""The project's own stand-ins for what a node communicates with, and nodes run as local processes."""
--- a/arrowfold/standins/local_system.py
+++ b/arrowfold/standins/local_system.py
@@ -1,6 +1,7 @@
-"""The system's programs as processes on loopback: settings files, starts, ends by process id.
+"""Runs the system's programs as processes on loopback: writes settings files, starts and stops nodes.
 
-Each node has an address of its own in 127.0.0.0/8, as each machine has one; ports are the same on all.
+Each node has an address of its own in 127.0.0.0/8, as each machine has; all nodes use the same ports.
+Processes are stopped by process id.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 MACHINE_LOSSES = 1
 GRACE_S = 6
 END_TIMEOUT_S = GRACE_S + 30.0
-_ACTIVE_PRIMARY = re.compile(r"event=primary\.active .*\bepoch=(\d+)")
-_SETTINGS = """\
+_PRIMARY_ACTIVE_PATTERN = re.compile(r"event=primary\.active .*\bepoch=(\d+)")
+_SETTINGS_TEMPLATE = """\
 nodeName = "{name}"
 role = "{role}"
 machineClass = "{machine_class}"
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True)
 class SystemPorts:
-    """The ports that all nodes use."""
+    """The ports that every node uses on its own address."""
 
     front: int
     readiness: int
@@ -66,7 +67,7 @@
 
 @dataclass
 class LocalNode:
-    """One program on one loopback address; `process` is its newest start."""
+    """One program on one loopback address; `process` is the process that was started last."""
 
     name: str
     role: str
@@ -77,12 +78,15 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process was started and has not ended."""
         return self.process is not None and self.process.poll() is None
 
 
 class LocalSystem:
-    """Control and edge nodes; every process that it starts, it ends."""
+    """Control and edge nodes on loopback, with their settings, data and logs in one folder.
+
+    Call `terminate_all` to stop every process that was started.
+    """
 
     def __init__(self, folder: Path, edges: int, log_level: str = "INFO") -> None:
         self._folder = folder
@@ -92,25 +96,25 @@
         control_hosts = [f"{network}.{number}" for number in range(1, CONTROL_NODES + 1)]
         edge_hosts = [f"{network}.{100 + number}" for number in range(edges)]
         self.ports = _free_ports([*control_hosts, *edge_hosts])
-        self.controls = [self._node("control", number, host) for number, host in enumerate(control_hosts)]
-        self.edges = [self._node("edge", number, host) for number, host in enumerate(edge_hosts)]
+        self.controls = [self._new_node("control", number, host) for number, host in enumerate(control_hosts)]
+        self.edges = [self._new_node("edge", number, host) for number, host in enumerate(edge_hosts)]
         for node in [*self.controls, *self.edges]:
-            node.settings_file.write_text(self._settings(node, first_start=True), encoding="utf-8")
+            node.settings_file.write_text(self._settings_text(node, first_start=True), encoding="utf-8")
 
     def control_address(self, node: LocalNode) -> str:
-        """Where workers and the operator call a control node."""
+        """Returns the address at which workers and the operator call a control node."""
         return f"{node.host}:{self.ports.control}"
 
     def front_address(self, node: LocalNode) -> str:
-        """Where clients call an edge node."""
+        """Returns the address at which clients call an edge node."""
         return f"{node.host}:{self.ports.front}"
 
     def readiness_address(self, node: LocalNode) -> str:
-        """Where an edge node says whether it is ready."""
+        """Returns the address of an edge node's readiness endpoint."""
         return f"{node.host}:{self.ports.readiness}"
 
     def start(self, node: LocalNode) -> None:
-        """Start a node's program; its log goes to a file beside its settings."""
+        """Start a node's program; its log goes to a file next to its settings file."""
         module = f"arrowfold.programs.{node.role}"
         environment = {**os.environ, "ARROWFOLD_NODE_FILE": str(node.settings_file)}
         with self.log_file(node).open("ab") as log:
@@ -123,37 +127,40 @@
             )
 
     def restart(self, node: LocalNode) -> None:
-        """Start a node that has ended anew, on the disk that it left."""
-        node.settings_file.write_text(self._settings(node, first_start=False), encoding="utf-8")
+        """Start a node that has ended again, with its data directory as it is."""
+        node.settings_file.write_text(self._settings_text(node, first_start=False), encoding="utf-8")
         self.start(node)
 
     def kill(self, node: LocalNode) -> None:
-        """End a node without notice."""
+        """Kill a node's process with SIGKILL and wait for its end."""
         if node.process is not None:
             node.process.kill()
             node.process.wait()
 
     def terminate_all(self) -> list[int | None]:
-        """Ask all nodes to end, kill those that don't, and give the exit codes, edges first."""
+        """Send SIGTERM to all nodes and kill those that don't end in time.
+
+        Returns the exit codes, edge nodes first; None for a node that was never started.
+        """
         nodes = [*self.edges, *self.controls]
         for node in nodes:
             if node.process is not None and node.running:
                 node.process.terminate()
-        return [self._ended(node) for node in nodes]
+        return [self._wait_for_end(node) for node in nodes]
 
     def primary(self) -> LocalNode:
-        """The control node that said last, by its epoch, that it is the primary."""
+        """Returns the control node that became the primary in the highest epoch, according to the logs."""
         return max(self.controls, key=self._newest_epoch)
 
     def _newest_epoch(self, node: LocalNode) -> int:
         log = self.log_file(node).read_text(encoding="utf-8", errors="replace")
-        return max((int(epoch) for epoch in _ACTIVE_PRIMARY.findall(log)), default=0)
+        return max((int(epoch) for epoch in _PRIMARY_ACTIVE_PATTERN.findall(log)), default=0)
 
     def log_file(self, node: LocalNode) -> Path:
-        """The log of all starts of a node."""
+        """Returns the path of a node's log, which all its starts share."""
         return self._folder / f"{node.name}.log"
 
-    def _ended(self, node: LocalNode) -> int | None:
+    def _wait_for_end(self, node: LocalNode) -> int | None:
         if node.process is None:
             return None
         try:
@@ -162,11 +169,11 @@
             node.process.kill()
             return node.process.wait()
 
-    def _node(self, role: str, number: int, host: str) -> LocalNode:
+    def _new_node(self, role: str, number: int, host: str) -> LocalNode:
         name = f"{role}-{number + 1}"
         return LocalNode(name, role, host, number % CONTROL_NODES + 1, self._folder / f"{name}.toml")
 
-    def _settings(self, node: LocalNode, first_start: bool) -> str:
+    def _settings_text(self, node: LocalNode, first_start: bool) -> str:
         is_control = node.role == "control"
         data_directory = self._folder / f"{node.name}.data"
         if is_control:
@@ -175,7 +182,7 @@
         else:
             front, readiness = self.front_address(node), self.readiness_address(node)
             listen = f'front = "{front}"\nreadiness = "{readiness}"'
-        return _SETTINGS.format(
+        return _SETTINGS_TEMPLATE.format(
             name=node.name,
             role=node.role,
             machine_class="core" if is_control else "edge",
@@ -183,7 +190,7 @@
             host=node.host,
             zone=node.zone,
             internal_port=self.ports.internal,
-            seeds=", ".join(f'"{self.control_address(control)}"' for control in self._seeds()),
+            seeds=", ".join(f'"{self.control_address(control)}"' for control in self._seed_nodes()),
             first_start=str(first_start).lower(),
             counted=str(is_control).lower(),
             data_directory=f'dataDirectory = "{data_directory}"' if is_control else "",
@@ -192,25 +199,25 @@
             grace=GRACE_S,
         )
 
-    def _seeds(self) -> list[LocalNode]:
+    def _seed_nodes(self) -> list[LocalNode]:
         return self.controls
 
 
 def _free_ports(hosts: Iterable[str]) -> SystemPorts:
-    """Four ports that are free on every host, below those that the system gives to outgoing connections."""
+    """Returns four ports that are free on every host, below the ephemeral range of outgoing connections."""
     hosts = list(hosts)
-    found: list[int] = []
-    while len(found) < 4:
+    ports: list[int] = []
+    while len(ports) < 4:
         port = random.randint(15_000, 32_000)
-        if port not in found and all(_is_free(host, port) for host in hosts):
-            found.append(port)
-    return SystemPorts(*found)
+        if port not in ports and all(_is_free(host, port) for host in hosts):
+            ports.append(port)
+    return SystemPorts(*ports)
 
 
 def _is_free(host: str, port: int) -> bool:
-    with socket.socket() as probe:
+    with socket.socket() as sock:
         try:
-            probe.bind((host, port))
+            sock.bind((host, port))
         except OSError:
             return False
     return True
--- a/arrowfold/standins/model_workers.py
+++ b/arrowfold/standins/model_workers.py
@@ -1,7 +1,7 @@
-"""Stand-in model workers: they answer and stream as workers do, take orders, and send heartbeats.
+"""Stand-in model workers: they answer requests, stream tokens, accept placement orders and send heartbeats.
 
-Each listens on an address of its own on loopback. Tokens are words, an answer names its worker, and each
-worker remembers which requests it ran, so that a trial can tell whether one ran twice or after a drain.
+Each listens on a loopback address of its own. Tokens are words, and the headers of an answer name its worker.
+A worker records the requests that it ran, so that a trial can detect one that ran twice or after a drain.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 LAST_EVENT_HEADER = "Last-Event-Id"
 MODEL_HEADER = "X-Model"
 LOAD_HEADER = "X-Server-Load"
-KEY_HEADER = "Authorization"
+API_KEY_HEADER = "Authorization"
 TENANT_HEADER = "X-Tenant"
 HEARTBEAT_TIMEOUT_S = 1.0
 STREAM_EVENTS = 8
@@ -31,18 +31,22 @@
 
 @dataclass
 class RequestRun:
-    """A request that a worker began to work on, at a time of the event loop's clock (seconds)."""
+    """A request that a worker started to process. `started_at` is the event loop's time in seconds."""
 
     attempt: str
     path: str
     started_at: float
-    tenant: str | None = None  # as the edge named it
-    saw_key: bool = False  # which no worker may
+    tenant: str | None = None  # from the header that the edge node sets
+    had_api_key: bool = False  # whether the request carried an API key, which no worker may receive
 
 
 @dataclass
 class WorkerProfile:
-    """What a stand-in worker is. `event_pause_s`: between the events of a stream."""
+    """The properties of a stand-in worker.
+
+    `streams`: whether it answers with event streams. `work_s`: time before the answer begins.
+    `event_pause_s`: time between the events of a stream.
+    """
 
     instance: str
     service: str
@@ -55,10 +59,13 @@
 
 
 class StandInWorker:
-    """One worker: an HTTP server and a loop of heartbeats."""
+    """One worker: an HTTP server and a task that sends heartbeats.
+
+    `runs` are the requests that it processed, `orders` the placement orders that it accepted.
+    """
 
     def __init__(
-        self, profile: WorkerProfile, control_addresses: Sequence[str], beat_interval_s: float
+        self, profile: WorkerProfile, control_addresses: Sequence[str], heartbeat_interval_s: float
     ) -> None:
         self.profile = profile
         self.address = ""
@@ -67,15 +74,15 @@
         self.state = "available"
         self.drained_at: float | None = None
         self._control_addresses = list(control_addresses)
-        self._beat_interval_s = beat_interval_s
+        self._heartbeat_interval_s = heartbeat_interval_s
         self._call_sequence = 0
         self._active = 0
         self._runner: web.AppRunner | None = None
-        self._beats: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
         self._client: aiohttp.ClientSession | None = None
 
     async def start(self, host: str) -> None:
-        """Listen on a free port of `host` and begin to send heartbeats."""
+        """Listen on a free port of `host` and start sending heartbeats."""
         application = web.Application()
         application.router.add_get("/healthz", self._answer_health)
         application.router.add_get("/report", self._answer_report)
@@ -87,39 +94,42 @@
         port = self._runner.addresses[0][1]
         self.address = f"{host}:{port}"
         self._client = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=HEARTBEAT_TIMEOUT_S))
-        self._beats = asyncio.create_task(self._send_heartbeats())
+        self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
 
     async def stop(self) -> None:
-        """End at once, without a word to the control nodes."""
-        if self._beats is not None:
-            self._beats.cancel()
+        """Stop at once, without deregistering from the control nodes."""
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                await self._beats
+                await self._heartbeat_task
         if self._client is not None:
             await self._client.close()
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def drain(self) -> None:
-        """Say `draining` until a control node has acknowledged it; `drained_at` is when that was."""
+        """Report `draining` until a control node acknowledges it, and set `drained_at` to that time."""
         self.state = "draining"
-        while not await self._call("PUT"):
-            await asyncio.sleep(self._beat_interval_s / 2)
+        while not await self._call_control_node("PUT"):
+            await asyncio.sleep(self._heartbeat_interval_s / 2)
         self.drained_at = asyncio.get_running_loop().time()
 
     async def leave(self) -> None:
-        """Say that this worker is gone, until it is acknowledged; heartbeats end first."""
-        if self._beats is not None:
-            self._beats.cancel()
-        while not await self._call("DELETE"):
-            await asyncio.sleep(self._beat_interval_s / 2)
+        """Stop the heartbeats and deregister; repeats the call until a control node acknowledges it."""
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
+        while not await self._call_control_node("DELETE"):
+            await asyncio.sleep(self._heartbeat_interval_s / 2)
 
     async def _send_heartbeats(self) -> None:
         while True:
-            acknowledged = await self._call("PUT")
-            await asyncio.sleep(self._beat_interval_s if acknowledged else self._beat_interval_s / 4)
+            acknowledged = await self._call_control_node("PUT")
+            await asyncio.sleep(
+                self._heartbeat_interval_s if acknowledged else self._heartbeat_interval_s / 4
+            )
 
-    async def _call(self, method: str) -> bool:
+    async def _call_control_node(self, method: str) -> bool:
+        """Call a control node, the next one after a failure; returns whether it acknowledged the call."""
         assert self._client is not None
         self._call_sequence += 1
         body = self._registration() if method == "PUT" else None
@@ -144,11 +154,11 @@
             "state": self.state,
             "coldLeftMs": 0,
             "stage": "both",
-            "models": self._held_models(),
+            "models": self._loaded_models(),
             "callSeq": self._call_sequence,
         }
 
-    def _held_models(self) -> list[dict[str, Any]]:
+    def _loaded_models(self) -> list[dict[str, Any]]:
         return [{"name": name, "version": 1, "adapters": []} for name in self.profile.models]
 
     async def _answer_health(self, _: web.Request) -> web.Response:
@@ -158,7 +168,7 @@
     async def _answer_report(self, _: web.Request) -> web.Response:
         report = {
             "stage": "both",
-            "models": self._held_models(),
+            "models": self._loaded_models(),
             "busy": False,
             "callSeq": len(self.orders),
             "queued": 0,
@@ -193,12 +203,12 @@
                 request.path,
                 asyncio.get_running_loop().time(),
                 tenant=request.headers.get(TENANT_HEADER),
-                saw_key=KEY_HEADER in request.headers,
+                had_api_key=API_KEY_HEADER in request.headers,
             )
         )
         self._active += 1
         try:
-            return await (self._stream(request) if self.profile.streams else self._answer_at_once(request))
+            return await (self._stream(request) if self.profile.streams else self._answer_whole(request))
         finally:
             self._active -= 1
 
@@ -206,30 +216,30 @@
         target = request.headers.get(TARGET_HEADER)
         model = request.headers.get(MODEL_HEADER, "").partition("/")[0]
         if target not in (None, self.profile.instance) or (model and model not in self.profile.models):
-            return web.Response(status=421, headers=self._headers(request))
+            return web.Response(status=421, headers=self._base_headers(request))
         if ATTEMPT_HEADER not in request.headers:
             return web.Response(status=400, headers={NOT_EXECUTED_HEADER: "1"})
         if self._active >= self.profile.capacity_slots:
-            return web.Response(status=503, headers={**self._headers(request), NOT_EXECUTED_HEADER: "1"})
+            return web.Response(status=503, headers={**self._base_headers(request), NOT_EXECUTED_HEADER: "1"})
         return None
 
-    def _headers(self, request: web.Request) -> dict[str, str]:
+    def _base_headers(self, request: web.Request) -> dict[str, str]:
         return {
             ATTEMPT_HEADER: request.headers.get(ATTEMPT_HEADER, ""),
             INSTANCE_HEADER: self.profile.instance,
             LOAD_HEADER: f"{self._active},0,{self.profile.capacity_slots}",
         }
 
-    def _answer_headers(self, request: web.Request) -> dict[str, str]:
-        return {**self._headers(request), SEAL_HEADER: f"{self.profile.instance}.{len(self.runs)}"}
+    def _sealed_headers(self, request: web.Request) -> dict[str, str]:
+        return {**self._base_headers(request), SEAL_HEADER: f"{self.profile.instance}.{len(self.runs)}"}
 
-    async def _answer_at_once(self, request: web.Request) -> web.Response:
-        headers = self._answer_headers(request)
+    async def _answer_whole(self, request: web.Request) -> web.Response:
+        headers = self._sealed_headers(request)
         await asyncio.sleep(self.profile.work_s)
         return web.Response(text=answer_text(headers[ATTEMPT_HEADER]), headers=headers)
 
     async def _stream(self, request: web.Request) -> web.StreamResponse:
-        response = web.StreamResponse(headers=self._answer_headers(request))
+        response = web.StreamResponse(headers=self._sealed_headers(request))
         response.content_type = "text/event-stream"
         response.headers["Versions"] = "1"
         await asyncio.sleep(self.profile.work_s)
@@ -243,10 +253,10 @@
 
 
 def answer_text(attempt: str) -> str:
-    """The body that a worker gives a request that is no stream."""
+    """Returns the body of an answer that is not a stream."""
     return f"answer to {attempt}"
 
 
 def event_text(number: int) -> str:
-    """Event `number` of every stream; numbers run from 1 to STREAM_EVENTS."""
+    """Returns event `number` of every stream; numbers run from 1 to STREAM_EVENTS."""
     return f"id: {number}\ndata: token-{number}\n\n"
--- a/arrowfold/standins/trial_client.py
+++ b/arrowfold/standins/trial_client.py
@@ -1,4 +1,4 @@
-"""A client of the trial: sends requests to edges, repeats what was refused, and checks every answer whole."""
+"""The client of the trial: sends requests to edge nodes, repeats refused ones and checks whole answers."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 import aiohttp
 
 from arrowfold.standins.model_workers import (
+    API_KEY_HEADER,
     ATTEMPT_HEADER,
-    KEY_HEADER,
     MODEL_HEADER,
     SEAL_HEADER,
     STREAM_EVENTS,
@@ -23,20 +23,20 @@
 )
 
 DEADLINE_S = 10.0
-MOST_TRIES = 4
-LONGEST_WAIT_S = 1.0
-FOREIGN_TENANT = "someone-else"  # which an edge must not pass on
-_EVENT = re.compile(r"id: \d+\n(?:.+\n)*\n")
-_REFUSED = (429, 503)
+MAX_SENDS = 4  # of one request, the first one included
+MAX_RETRY_DELAY_S = 1.0
+FOREIGN_TENANT = "someone-else"  # tenant header of the client, which an edge node must not forward
+_EVENT_PATTERN = re.compile(r"id: \d+\n(?:.+\n)*\n")
+_REFUSED_STATUSES = (429, 503)
 _WHOLE_STREAM = "".join(event_text(number) for number in range(1, STREAM_EVENTS + 1))
 
 
 class Outcome(Enum):
-    """What came of a request."""
+    """The result of a request; the values are column headings of the trial's table."""
 
     SERVED = "served"
     REFUSED = "refused"
-    NO_ROUTE = "no route"
+    NO_ROUTE = "no route"  # 404
     NO_KEY = "no key"  # 401
     FAILED = "failed"
     WRONG = "wrong"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class RequestKind:
-    """A kind of request that the trial sends. `repeatable`: it may be sent again after any failure."""
+    """A kind of request that the trial sends. A `repeatable` one may be sent again after any failure."""
 
     name: str
     path: str
@@ -55,21 +55,25 @@
 
 @dataclass
 class Tally:
-    """Outcomes by phase and kind of request, and what was wrong."""
+    """Counts of outcomes by phase and kind of request, and descriptions of wrong answers."""
 
     counts: Counter[tuple[str, str, Outcome]] = field(default_factory=Counter)
     faults: list[str] = field(default_factory=list)
 
     def count(self, phase: str, outcome: Outcome) -> int:
-        """How many requests of a phase had an outcome."""
-        return sum(count for (of, _, came), count in self.counts.items() if (of, came) == (phase, outcome))
+        """Returns the number of requests of a phase that had an outcome."""
+        return sum(
+            count
+            for (counted_phase, _, counted_outcome), count in self.counts.items()
+            if (counted_phase, counted_outcome) == (phase, outcome)
+        )
 
 
 class TrialClient:
-    """Sends requests with ids of its own; every try has a new one, the key, and a foreign tenant."""
+    """Sends requests, each time with a new attempt id, the API key and the header of a foreign tenant."""
 
     def __init__(self, host: str, tally: Tally, key: str | None = None) -> None:
-        """`key`: of a tenant; without it no Authorization is sent."""
+        """`key` is the API key of a tenant; if it is None, no Authorization header is sent."""
         self._host = host
         self._key = key
         self._tally = tally
@@ -80,15 +84,18 @@
         )
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         await self._session.close()
 
     async def send_many(self, phase: str, kinds: list[RequestKind], edges: list[str], total: int) -> None:
-        """Send `total` requests, kinds and edges in turn, ten at a time."""
-        places = asyncio.Semaphore(10)
+        """Send `total` requests, at most ten at a time, and count their outcomes.
+
+        Kinds and edge nodes take turns.
+        """
+        concurrency_limit = asyncio.Semaphore(10)
 
         async def send_one(number: int) -> None:
-            async with places:
+            async with concurrency_limit:
                 kind = kinds[number % len(kinds)]
                 outcome = await self.send(kind, edges, first_edge=number // len(kinds))
                 self._tally.counts[phase, kind.name, outcome] += 1
@@ -96,16 +103,20 @@
         await asyncio.gather(*(send_one(number) for number in range(total)))
 
     async def send(self, kind: RequestKind, edges: list[str], first_edge: int = 0) -> Outcome:
-        """Send one request; another edge after each refusal, and after a failure where it may be repeated."""
+        """Send one request, and send it again to the next edge node after a refusal.
+
+        A repeatable request is also sent again after a failure.
+        """
         outcome = Outcome.FAILED
-        for number in range(MOST_TRIES):
-            outcome, wait_s = await self._try(kind, edges[(first_edge + number) % len(edges)])
+        for number in range(MAX_SENDS):
+            outcome, retry_delay_s = await self._send_once(kind, edges[(first_edge + number) % len(edges)])
             if not (outcome is Outcome.REFUSED or (outcome is Outcome.FAILED and kind.repeatable)):
                 break
-            await asyncio.sleep(min(wait_s, LONGEST_WAIT_S))
+            await asyncio.sleep(min(retry_delay_s, MAX_RETRY_DELAY_S))
         return outcome
 
-    async def _try(self, kind: RequestKind, edge: str) -> tuple[Outcome, float]:
+    async def _send_once(self, kind: RequestKind, edge: str) -> tuple[Outcome, float]:
+        """Returns the outcome and the delay before the request may be sent again, in seconds."""
         attempt = secrets.token_hex(8)
         headers = {
             "Host": self._host,
@@ -114,7 +125,7 @@
             TENANT_HEADER: FOREIGN_TENANT,
         }
         if self._key is not None:
-            headers[KEY_HEADER] = f"Bearer {self._key}"
+            headers[API_KEY_HEADER] = f"Bearer {self._key}"
         if kind.model is not None:
             headers |= {MODEL_HEADER: kind.model, "X-Token-Usage": "40,8"}
         url = f"http://{edge}{kind.path}x"
@@ -123,7 +134,7 @@
                 body = await answer.text()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return Outcome.FAILED, 0.1
-        if answer.status in _REFUSED:
+        if answer.status in _REFUSED_STATUSES:
             return Outcome.REFUSED, _retry_after_s(answer.headers.get("Retry-After"))
         if answer.status == 401:
             return Outcome.NO_KEY, 0.1
@@ -131,14 +142,14 @@
             return Outcome.NO_ROUTE, 0.1
         if answer.status != 200:
             return Outcome.FAILED, 0.1
-        return self._judge(kind, attempt, answer.headers.get(SEAL_HEADER), body), 0.0
+        return self._check_answer(kind, attempt, answer.headers.get(SEAL_HEADER), body), 0.0
 
-    def _judge(self, kind: RequestKind, attempt: str, seal: str | None, body: str) -> Outcome:
+    def _check_answer(self, kind: RequestKind, attempt: str, seal: str | None, body: str) -> Outcome:
         expected = _WHOLE_STREAM if kind.streams else answer_text(attempt)
         if seal is not None and body == expected:
             return Outcome.SERVED
-        what = f"{len(_EVENT.findall(body))} events" if kind.streams else repr(body[:60])
-        self._tally.faults.append(f"{kind.name} {attempt}: seal {seal}, {what}")
+        received = f"{len(_EVENT_PATTERN.findall(body))} events" if kind.streams else repr(body[:60])
+        self._tally.faults.append(f"{kind.name} {attempt}: seal {seal}, {received}")
         return Outcome.WRONG
 
 
--- a/arrowfold/standins/trial_configuration.py
+++ b/arrowfold/standins/trial_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that trials on loopback use: kinds of request, their routes, and the services."""
+"""The configuration of trials on loopback: kinds of requests, their routes, services and tenants."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 LOOKUP = RequestKind("lookup", "/lookup/", repeatable=True)
 RECORD = RequestKind("record", "/record/")
 TENANT, TENANT_KEY = "guests", "key-of-the-guests"
-LEAVING_TENANT, LEAVING_KEY = "leavers", "key-of-the-leavers"
+REMOVED_TENANT, REMOVED_TENANT_KEY = "leavers", "key-of-the-leavers"
 ADDED = RequestKind("added route", "/added/", repeatable=True)
 
 
 def trial_configuration() -> dict[str, Any]:
-    """Three routes to two services, without a version."""
+    """Returns a configuration of three routes to two services, without a version."""
     engine = {
         "capacitySlots": 8,
         "kvCacheTokens": 100_000,
@@ -47,15 +47,15 @@
 
 
 def trial_tenants() -> list[dict[str, Any]]:
-    """One tenant that stays, and one whose key is taken away."""
+    """Returns a tenant that stays and one that the trial removes, and its key with it."""
     return [
         {"name": TENANT, "apiKeys": [TENANT_KEY]},
-        {"name": LEAVING_TENANT, "apiKeys": [LEAVING_KEY], "priority": 0},
+        {"name": REMOVED_TENANT, "apiKeys": [REMOVED_TENANT_KEY], "priority": 0},
     ]
 
 
 def trial_route(name: str, kind: RequestKind, route_kind: str, **members: Any) -> dict[str, Any]:
-    """The route of a kind of request."""
+    """Returns the route document of a kind of request; `members` are added to it or replace its values."""
     return {
         "name": name,
         "hostname": HOST,
