--- a/arrowfold/standins/door.py
+++ b/arrowfold/standins/door.py
@@ -1,4 +1,4 @@
-"""A stand-in that does nothing by itself: a test accepts, reads and writes for it, byte by byte."""
+"""A stand-in server without behaviour of its own: a test accepts its connections and reads and writes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Peer:
-    """One accepted connection, as the far side sees it."""
+    """One accepted connection, from the server's side; `read` holds received bytes not yet consumed."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -24,27 +24,31 @@
         self.read = b""
 
     def request(self) -> tuple[str, dict[str, str]]:
-        """The next whole request: its first line and its headers, names in lower case."""
+        """Read the next whole request and drop its body.
+
+        Returns the request line and the headers, with names in lower case.
+        """
         while b"\r\n\r\n" not in self.read:
             self.more()
         head, _, rest = self.read.partition(b"\r\n\r\n")
-        first, *rows = head.decode("latin-1").split("\r\n")
-        headers = {name.lower(): value.strip() for name, _, value in (row.partition(":") for row in rows)}
+        request_line, *lines = head.decode("latin-1").split("\r\n")
+        headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
         length = int(headers.get("content-length", "0"))
         self.read = rest
         while len(self.read) < length:
             self.more()
         self.read = self.read[length:]
-        return first, headers
+        return request_line, headers
 
     def more(self) -> None:
+        """Wait for bytes and append them to `read`; raises EOFError if the node has closed the connection."""
         data = self.sock.recv(65536)
         if not data:
-            raise EOFError("the node has ended this connection")
+            raise EOFError("the node has closed this connection")
         self.read += data
 
     def ended(self) -> bool:
-        """Wait for the node's end of the connection; what still comes before it is kept in `read`."""
+        """Wait until the node closes the connection, keeping what it sends before that; returns True."""
         try:
             while True:
                 self.more()
@@ -52,24 +56,26 @@
             return True
 
     def quiet(self, seconds: float) -> bool:
-        """Whether nothing comes, nor an end, for a while."""
+        """Returns whether the node neither sends anything nor closes the connection for `seconds`."""
         return not self.read and not select.select([self.sock], [], [], seconds)[0]
 
     def say(self, data: bytes) -> None:
+        """Send bytes to the node."""
         self.sock.sendall(data)
 
     def chunk(self, value: object, indent: int | None = None) -> None:
-        """A part of a chunked answer: a line of JSON, or an empty line for None."""
+        """Send one chunk of a chunked answer: a line of JSON, or an empty line for None."""
         data = (b"" if value is None else json.dumps(value, indent=indent).encode()) + b"\n"
         self.say(b"%x\r\n%s\r\n" % (len(data), data))
 
     def done(self, job: str, result: str = "r", end: bytes = b"0\r\n\r\n", **more: Any) -> None:
-        """A whole answer to a job."""
+        """Send a whole answer that ends a job; `end` replaces the last chunk, `more` adds fields."""
         self.say(WATCH_HEAD)
         self.chunk({"id": job, "state": "done", "result": result, **more})
         self.say(end)
 
     def reset(self) -> None:
+        """Close the connection with a TCP reset."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
@@ -78,7 +84,10 @@
 
 
 class Door:
-    """A listening socket. Nobody is heard before `accept`; with `shut`, no connection even comes up."""
+    """A listening socket whose connections a test accepts one by one.
+
+    With `shut`, its backlog is full, so that no connection is even established before `open`.
+    """
 
     def __init__(self, uid: str = "s1", shut: bool = False) -> None:
         self.uid = uid
@@ -86,41 +95,44 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.sock.bind(("127.0.0.1", 0))
         self.address = "{}:{}".format(*self.sock.getsockname())
-        self.stuffing: list[socket.socket] = []
+        self._backlog_fillers: list[socket.socket] = []  # the last one is not established
         self.peers: list[Peer] = []
         self.sock.listen(0 if shut else 64)
         self.sock.settimeout(LONG)
         while shut:
-            # A backlog that is full drops what comes: a connection stands half open until there is room.
+            # The kernel drops SYNs while the backlog is full, so the first connection that stays half open
+            # shows that it is.
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(self.sock.getsockname())
-            self.stuffing.append(sock)
+            self._backlog_fillers.append(sock)
             shut = bool(select.select([], [sock], [], 0.1)[1])
 
     def accept(self) -> Peer:
+        """Wait for the next connection and accept it."""
         peer = Peer(self.sock.accept()[0])
         self.peers.append(peer)
         return peer
 
     def asked(self, seconds: float = 0.0) -> bool:
-        """Whether somebody waits at the door."""
+        """Waits at most `seconds` for a connection; returns whether one can be accepted."""
         return bool(select.select([self.sock], [], [], seconds)[0])
 
     def open(self) -> None:
-        """Let in who waits at a door that was shut, once it tries again."""
-        *up, half = self.stuffing
-        half.close()
+        """Empty the backlog of a `shut` server; waiting clients connect when they send their SYN again."""
+        *established, half_open = self._backlog_fillers
+        half_open.close()
         self.sock.listen(64)
-        for sock in up:
+        for sock in established:
             sock.close()
             self.sock.accept()[0].close()
-        self.stuffing.clear()
+        self._backlog_fillers.clear()
 
     def row(self, state: str = "SERVING", boot_ms: int = 0) -> dict[str, Any]:
+        """Returns the server's entry in a discovery list."""
         return {"uid": self.uid, "endpoint": self.address, "az": "a", "model": "m", "pod_group": 0,
                 "state": state, "capacity_hint": 1.0, "boot_ms": boot_ms}
 
     def close(self) -> None:
-        for sock in [self.sock, *self.stuffing, *(peer.sock for peer in self.peers)]:
+        for sock in [self.sock, *self._backlog_fillers, *(peer.sock for peer in self.peers)]:
             sock.close()
--- a/arrowfold/standins/process.py
+++ b/arrowfold/standins/process.py
@@ -1,4 +1,4 @@
-"""The program as a process, with a configuration of its own, as the platform would start it."""
+"""Runs the program as a process with a configuration file of its own, as the platform starts it."""
 
 from __future__ import annotations
 
@@ -19,11 +19,13 @@
 
 def request_class(
         name: str, effect: str = "safe", limit_ms: int = 20_000, aim_ms: int = 5000) -> dict[str, Any]:
+    """Returns the settings of a class: its idempotency, hard limit and latency objective."""
     return {"group": "all", "hardLimitUs": limit_ms * 1000, "idempotency": effect, "importance": 1.0,
             "lateShare": 0.2, "name": name, "onTimeUs": aim_ms * 1000, "stream": False, "windowUs": 7_500_000}
 
 
-# Wide aims and limits, so that a slow machine gives the same verdict; QUICK is for what waits for them.
+# Latency objectives and limits are generous, so that results do not depend on the machine's speed. Tests that
+# wait for a limit to pass use QUICK of tests/edge.py.
 SETTINGS: dict[str, Any] = {
     "classes": [request_class("search"), request_class("record", "keyed"), request_class("once", "unsafe")],
     "contract": {"answerSlackUs": 20000, "askWithinUs": 400_000, "coldFrom": 0.34, "coldUs": 9_000_000,
@@ -37,7 +39,12 @@
 
 
 class Node:
-    """The program as a process."""
+    """The program as a process: its configuration, admin port, counters and requests to it.
+
+    `rows` are the workers of the static list and `edge` is the text of a KDL document. `changes` replace keys
+    of the configuration, and `shell` replaces the command by a shell command. With `wait`, the constructor
+    returns once the readiness check is answered or the process has ended.
+    """
 
     def __init__(
             self, folder: Path, rows: list[dict[str, Any]], discovery: str | None = None,
@@ -58,9 +65,9 @@
             self.edge_file = folder / "edge.kdl"
             self.edge_file.write_text(edge)
             command += ["run", str(self.edge_file)]
-        environ = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
+        environ = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
         if discovery:
-            environ["EDGE_DISCOVERY"] = discovery  # as on the platform, where it stays what it was at start
+            environ["EDGE_DISCOVERY"] = discovery  # as the platform does, which never changes it afterwards
         self.process = subprocess.Popen(
             command if shell is None else ["/bin/sh", "-c", shell], cwd=ROOT,
             env={**environ, "EDGE_CONFIG": str(self.file), "TMPDIR": str(folder)},
@@ -69,20 +76,22 @@
             eventually(lambda: self.answers_ready() is not None or self.process.poll() is not None)
 
     def reload(self, text: str | None = None, **changes: Any) -> None:
-        """Replace the file and say so, without waiting for what comes of it."""
+        """Replace the configuration file and send SIGHUP, without waiting for the effect."""
         self.config |= changes
-        fresh = self.file.with_suffix(".new")
-        fresh.write_text(json.dumps(self.config) if text is None else text)
-        fresh.replace(self.file)
+        new_file = self.file.with_suffix(".new")
+        new_file.write_text(json.dumps(self.config) if text is None else text)
+        new_file.replace(self.file)
         self.process.send_signal(signal.SIGHUP)
 
     def answers_ready(self) -> int | None:
+        """Returns the status of the readiness check; None without an answer."""
         try:
             return self.get("/health/ready")[0]
         except OSError:
             return None
 
     def get(self, path: str) -> tuple[int, bytes]:
+        """Send a GET request; returns the status and the body."""
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=LONG)
         try:
             connection.request("GET", path)
@@ -92,6 +101,7 @@
             connection.close()
 
     def counters(self) -> dict[str, int]:
+        """Returns the node's counters by name."""
         counted: dict[str, int] = json.loads(self.get("/counters")[1])
         return counted
 
@@ -100,45 +110,51 @@
             connection: http.client.HTTPConnection | None = None, path: str | None = None,
             **headers: str | None,
     ) -> tuple[int, bytes, dict[str, str]]:
-        """Hand in a job; status, body and headers of its answer."""
-        rows = {"X-Trace-Id": job, "X-Qos": name, "X-Expires-In": expires}
+        """Submit a job; returns the status, the body and the headers of its answer.
+
+        `headers` are added or replace the usual ones, with `_` for `-`; None removes a header.
+        """
+        request_headers = {"X-Trace-Id": job, "X-Qos": name, "X-Expires-In": expires}
         if name == "record":
-            rows["Idempotency-Key"] = f"key-{job}"
+            request_headers["Idempotency-Key"] = f"key-{job}"
         for header, value in headers.items():
-            rows.pop(header.replace("_", "-"), None)
+            request_headers.pop(header.replace("_", "-"), None)
             if value is not None:
-                rows[header.replace("_", "-")] = value
-        own = connection or http.client.HTTPConnection("127.0.0.1", self.port, timeout=LONG)
+                request_headers[header.replace("_", "-")] = value
+        http_connection = connection or http.client.HTTPConnection("127.0.0.1", self.port, timeout=LONG)
         try:
-            own.request("POST", path or f"/{name}?key=repo", body, rows)
-            answer = own.getresponse()
+            http_connection.request("POST", path or f"/{name}?key=repo", body, request_headers)
+            answer = http_connection.getresponse()
         except ConnectionError:
-            # As clients do when a node closes an idle connection under a request: once more, on a new one.
-            own.close()
-            own.request("POST", path or f"/{name}?key=repo", body, rows)
-            answer = own.getresponse()
-        result = answer.status, answer.read(), {k.lower(): v for k, v in answer.getheaders()}
+            # The node may close an idle connection while a request is sent on it; clients then repeat the
+            # request on a new connection.
+            http_connection.close()
+            http_connection.request("POST", path or f"/{name}?key=repo", body, request_headers)
+            answer = http_connection.getresponse()
+        result = answer.status, answer.read(), {key.lower(): value for key, value in answer.getheaders()}
         if connection is None:
-            own.close()
+            http_connection.close()
         return result
 
     def call(self, line: str, end: bytes = b"\n") -> str:
-        """An operator's call, and its answer."""
+        """Send a line to the admin port; returns the answer."""
         with socket.create_connection(("127.0.0.1", self.admin), timeout=LONG) as sock:
             sock.sendall(line.encode() + end)
             return b"".join(iter(lambda: sock.recv(4096), b"")).decode()
 
     def raw(self, data: bytes) -> bytes:
-        """Send bytes, and return all that comes until the node closes."""
+        """Send bytes; returns all that is received until the node closes the connection."""
         with socket.create_connection(("127.0.0.1", self.port), timeout=LONG) as sock:
             sock.sendall(data)
             return b"".join(iter(lambda: sock.recv(65536), b""))
 
     def terminate(self) -> int:
+        """Send SIGTERM and wait for the end; returns the exit code."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(LONG)
 
     def close(self) -> str:
+        """Kill the process if it still runs; returns what it wrote to standard error."""
         if self.process.poll() is None:
             self.process.kill()
         if self.process.stderr is not None:
--- a/arrowfold/standins/producers.py
+++ b/arrowfold/standins/producers.py
@@ -1,4 +1,4 @@
-"""A stand-in for Faktory's clients: a producer, and with a `wid` a worker."""
+"""A stand-in for Faktory's clients: a producer, or a worker if it has a `wid`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class Client:
-    """One Faktory connection: a producer, and with a wid a worker."""
+    """One Faktory connection, of a worker if it has a `wid` and of a producer otherwise.
+
+    `hi` holds the fields of the server's greeting and `greeted` its reply to HELLO.
+    """
 
     def __init__(self, port: int, wid: str | None = None, password: str | None = None, **hello: Any) -> None:
         self.sock = socket.create_connection(("127.0.0.1", port), timeout=LONG)
@@ -27,13 +30,14 @@
             fields["pwdhash"] = digest.hex()
         self.greeted = self.call("HELLO", fields)
 
-    def call(self, word: str, argument: object = None) -> Any:
-        """A command's reply: text of +OK or -ERR, a bulk's JSON, or None."""
+    def call(self, command: str, argument: object = None) -> Any:
+        """Send a command; returns its reply as `reply` does."""
         text = argument if isinstance(argument, str) else json.dumps(argument) if argument is not None else ""
-        self.sock.sendall(f"{word} {text}".strip().encode() + b"\r\n")
+        self.sock.sendall(f"{command} {text}".strip().encode() + b"\r\n")
         return self.reply()
 
     def reply(self) -> Any:
+        """Read a reply; returns the text of +OK or -ERR, or a bulk reply as a JSON value (None for null)."""
         line = self.lines.readline().decode().rstrip("\r\n")
         if not line.startswith("$"):
             return line
@@ -41,13 +45,14 @@
         return None if size < 0 else json.loads(self.lines.read(size + 2))
 
     def fetch(self) -> dict[str, Any]:
-        """The next job, however many empty answers come before it."""
+        """Fetch until there is a job; returns it."""
         while (job := self.call("FETCH", "default")) is None:
             pass
         assert isinstance(job, dict), job
         return job
 
     def push(self, jid: str, name: str = "search", **fields: Any) -> str:
+        """Push a job of a class; returns the text of the reply."""
         reply = self.call("PUSH", {"jid": jid, "jobtype": name, "args": [jid], **fields})
         assert isinstance(reply, str)
         return reply
--- a/arrowfold/standins/servers.py
+++ b/arrowfold/standins/servers.py
@@ -1,7 +1,7 @@
-"""Stand-ins for what a node talks to: search workers and discovery, as threaded HTTP servers on loopback.
+"""Stand-ins for the peers of a node: search workers and discovery, as threaded HTTP servers on loopback.
 
-They follow the published protocol and nothing of the program: a test, or a first try by hand, runs the real
-node against them.
+They implement the published protocol independently of the program's code. Tests and `arrowfold try` run the
+real node against them.
 """
 
 from __future__ import annotations
@@ -18,24 +18,28 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
-SLOW = 0.5  # seconds that a slow job runs
-LONG = 20.0  # seconds that a stand-in waits for what must come; nothing is judged by it
-LOAD = {"inflight": 1, "x0": 5}
+SLOW_JOB_S = 0.5
+LONG = 20.0  # timeout in seconds of each wait for something that must happen; no result depends on it
+LOAD = {"inflight": 1, "x0": 5}  # load report of a worker
 
 
 class Quiet(BaseHTTPRequestHandler):
+    """A request handler that logs nothing and writes chunked bodies, one JSON value a chunk."""
+
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
-    cut = False  # whether every byte goes out by itself
+    cut = False  # whether each byte is written separately
 
     def log_message(self, *_: Any) -> None:
         pass
 
     def chunk(self, value: object) -> None:
+        """Write one chunk: a line of JSON, or an empty line for None."""
         data = (json.dumps(value) if value is not None else "").encode() + b"\n"
         self.say(b"%x\r\n%s\r\n" % (len(data), data))
 
     def say(self, data: bytes) -> None:
+        """Write bytes to the connection, one by one if `cut` is set."""
         for part in [data[n:n + 1] for n in range(len(data))] if self.cut else [data]:
             self.wfile.write(part)
 
@@ -45,18 +49,18 @@
 
 
 class Server:
-    """A threaded HTTP server on a free port, or on the one that is asked for, closed with the test."""
+    """A threaded HTTP server on the given port of the loopback address, or on a free one for port 0."""
 
     def __init__(self, handler: type[BaseHTTPRequestHandler], port: int = 0) -> None:
         self.handler = handler
 
-        class Silent(ThreadingHTTPServer):
+        class SilentHTTPServer(ThreadingHTTPServer):
             daemon_threads = True
 
             def handle_error(self, *_: Any) -> None:
                 pass
 
-        self.http = Silent(("127.0.0.1", port), handler)
+        self.http = SilentHTTPServer(("127.0.0.1", port), handler)
         self.address = f"127.0.0.1:{self.http.server_address[1]}"
         threading.Thread(target=self.http.serve_forever, args=(0.02,), daemon=True).start()
 
@@ -68,7 +72,15 @@
 class Worker(Server):
     """A stand-in search worker.
 
-    `behave` says per job how it ends: a state, a status, "reset", "mute" (not a word) or "slow".
+    `behave` is called with a job's id and the number of times that the job was received. It returns the
+    outcome of the request: an HTTP status, a state of the result, or one of
+
+    - "mute": no answer; the connection is closed once `release` is set;
+    - "slow": done after SLOW_JOB_S;
+    - "hold": started, and done once `release` is set;
+    - "reset": started, and then the connection is shut down.
+
+    `jobs` are the requests received: id, path, headers with names in lower case, and body.
     """
 
     def __init__(
@@ -77,7 +89,7 @@
     ) -> None:
         self.uid, self.state, self.zone, self.kind, self.boot_ms = uid, "SERVING", zone, kind, 0
         self.load: dict[str, Any] = dict(LOAD)
-        self.said: dict[str, Any] = {}  # what else its last line holds
+        self.said: dict[str, Any] = {}  # additional fields of an answer's last line
         self.jobs: list[tuple[str, str, dict[str, str], bytes]] = []
         self.release = threading.Event()
         outer = self
@@ -98,49 +110,53 @@
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
                 job = self.headers["X-Trace-Id"]
                 outer.jobs.append((job, self.path, {k.lower(): v for k, v in self.headers.items()}, body))
-                how = behave(job, sum(row[0] == job for row in outer.jobs))
-                if how == "mute":  # takes it and says nothing
+                outcome = behave(job, sum(row[0] == job for row in outer.jobs))
+                if outcome == "mute":
                     outer.release.wait(LONG)
                     self.close_connection = True
-                elif how == 503:
+                elif outcome == 503:
                     self.plain(503, X_Never_Ran="1")
-                elif isinstance(how, int):
-                    self.plain(how)
+                elif isinstance(outcome, int):
+                    self.plain(outcome)
                 else:
                     self.send_response(200)
                     self.send_header("Transfer-Encoding", "chunked")
                     self.end_headers()
                     self.chunk({"id": job, "state": "started"})
-                    if how == "slow":
-                        time.sleep(SLOW)
-                        how = "done"
-                    if how == "hold":
+                    if outcome == "slow":
+                        time.sleep(SLOW_JOB_S)
+                        outcome = "done"
+                    if outcome == "hold":
                         outer.release.wait(LONG)
-                        how = "done"
-                    if how == "reset":
+                        outcome = "done"
+                    if outcome == "reset":
                         self.connection.shutdown(socket.SHUT_RDWR)
                         self.close_connection = True
                         return
                     result = f"{outer.uid}:{job}"
-                    self.chunk({"id": job, "from": outer.uid, "state": how, "result": result,
+                    self.chunk({"id": job, "from": outer.uid, "state": outcome, "result": result,
                                 "load": outer.load, **outer.said})
                     self.say(b"0\r\n\r\n")
 
         super().__init__(Handler)
 
     def row(self, state: str | None = None) -> dict[str, Any]:
+        """Returns the worker's entry in a discovery list."""
         return {"uid": self.uid, "endpoint": self.address, "az": self.zone, "model": self.kind,
                 "pod_group": 0, "state": state or self.state, "capacity_hint": 1.0, "boot_ms": self.boot_ms}
 
 
 class Discovery(Server):
-    """A stand-in discovery: the whole list first, then what `tell` adds; `drop` ends the watches."""
+    """A stand-in discovery: sends the complete list first, then the changes that `tell` queues.
+
+    With `held`, the list is not sent before `whole` is set. None in the queue `changes` ends a watch.
+    """
 
     def __init__(self, rows: list[dict[str, Any]], held: bool = False, port: int = 0) -> None:
-        self.whole = threading.Event()  # with `held`, the list waits for it
+        self.whole = threading.Event()
         if not held:
             self.whole.set()
-        self.asked: queue.Queue[str] = queue.Queue()
+        self.asked: queue.Queue[str] = queue.Queue()  # paths of the requests received
         self.changes: queue.Queue[dict[str, Any] | None] = queue.Queue()
         self.revision = 1
         outer = self
@@ -168,6 +184,7 @@
         super().__init__(Handler, port)
 
     def tell(self, *rows: dict[str, Any]) -> None:
+        """Queue a change of the list, under the next revision."""
         self.revision += 1
         self.changes.put({"rev": self.revision, "all": False, "targets": list(rows)})
 
@@ -176,7 +193,7 @@
 
 
 def free_port() -> int:
-    """A port below those that outgoing connections are given, so that none of them takes it first."""
+    """Returns a free port below the ephemeral range, so that no outgoing connection can take it first."""
     while True:
         port = 18_000 + (next(_ports) - 18_000) % 14_000
         with socket.socket() as sock, contextlib.suppress(OSError):
@@ -185,8 +202,8 @@
 
 
 def eventually(condition: Callable[[], bool]) -> None:
-    """Wait for what must come."""
+    """Wait until the condition is true; fails after LONG seconds."""
     end = time.monotonic() + LONG
     while not condition():
-        assert time.monotonic() < end, "it never came"
+        assert time.monotonic() < end, "the condition did not become true in time"
         time.sleep(0.01)
