--- a/tests/system/test_deploy_packages.py
+++ b/tests/system/test_deploy_packages.py
@@ -1,4 +1,4 @@
-"""The deploy file names what an empty machine needs, and nothing else; the build needs no compiler."""
+"""The deploy file lists exactly the packages that a bare machine needs; the build needs no compiler."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent.parent
-# Debian's packages and the commands of theirs that the build or the programs call.
+# Debian packages, with the command of each that the build or a program calls.
 COMMANDS = {"python3": "python3", "python3-pip": "pip", "diffutils": "cmp"}
-ALWAYS_THERE = {"rm", "cp"}  # coreutils, essential on the distribution
+ALWAYS_INSTALLED = {"rm", "cp"}  # coreutils, essential on the distribution
 SHELL_WORDS = {"[", "{", "}", "&&", "||", ";", "-e", "]"}
 
 
@@ -20,7 +20,7 @@
 
 
 def _commands(line: str) -> set[str]:
-    """The first word of each step, and the module that Python runs."""
+    """Returns the first word of each step of a shell line, and `pip` if Python runs it as a module."""
     steps = re.split(r"&&|\|\||;|\{|\}", line)
     found = set()
     for step in steps:
@@ -37,7 +37,7 @@
     roles = deploy["roles"]
     assert isinstance(roles, dict)
     lines = [str(deploy["build"]), *(str(role["run"]) for role in roles.values())]
-    used = set().union(*(_commands(line) for line in lines)) - ALWAYS_THERE
+    used = set().union(*(_commands(line) for line in lines)) - ALWAYS_INSTALLED
     named = deploy["packages"]
     assert isinstance(named, list)
     assert {COMMANDS[package] for package in named} == used
--- a/tests/system/test_system_commands.py
+++ b/tests/system/test_system_commands.py
@@ -1,4 +1,4 @@
-"""`arrowfold system`: files are checked without starting anything, faults are one line."""
+"""`arrowfold system` checks files without starting a process, and reports an error in one line."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 """
 
 
-def written(folder: Path, text: str | bytes) -> str:
+def write_file(folder: Path, text: str | bytes) -> str:
     path = folder / "file"
     path.write_bytes(text.encode() if isinstance(text, str) else text)
     return str(path)
 
 
-def test_a_good_settings_file_is_described(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert arrowfold(["system", "check-settings", written(tmp_path, SETTINGS)]) == 0
+def test_a_valid_settings_file_is_summarized(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    assert arrowfold(["system", "check-settings", write_file(tmp_path, SETTINGS)]) == 0
     output = capsys.readouterr().out
     for words in ("node core-1 in zone z", "10.1.0.38:7660", "disk: /data", "losses borne: 1"):
         assert words in output
@@ -45,19 +45,19 @@
         ("nodeName = ", "not TOML"),
     ],
 )
-def test_a_bad_settings_file_is_one_line_with_the_keys_path(
+def test_an_invalid_settings_file_is_reported_in_one_line_with_the_path_of_the_key(
     text: str, words: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert arrowfold(["system", "check-settings", written(tmp_path, text)]) == 2
+    assert arrowfold(["system", "check-settings", write_file(tmp_path, text)]) == 2
     error = capsys.readouterr().err
     assert "error 601 SETTINGS_INVALID" in error and words in error
     assert error.count("\n") == 1
 
 
-def test_a_good_configuration_is_described(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_valid_configuration_is_summarized(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     split = [{"targetService": "t", "weight": 1}, {"targetService": "s", "weight": 1}]
     value = configuration(7, routes=[route("a"), route("b", trafficSplit=split)])
-    assert arrowfold(["system", "check-configuration", written(tmp_path, text_of(value))]) == 0
+    assert arrowfold(["system", "check-configuration", write_file(tmp_path, text_of(value))]) == 0
     output = capsys.readouterr().out
     for words in ("version 7, 2 routes, 2 services", "service s: 2 routes", "service t: 1 routes"):
         assert words in output
@@ -71,16 +71,16 @@
         (b"{", "101 CONFIGURATION_UNREADABLE"),
     ],
 )
-def test_a_bad_configuration_is_one_line_with_the_path(
+def test_an_invalid_configuration_is_reported_in_one_line_with_the_path(
     body: bytes, words: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert arrowfold(["system", "check-configuration", written(tmp_path, body)]) == 2
+    assert arrowfold(["system", "check-configuration", write_file(tmp_path, body)]) == 2
     error = capsys.readouterr().err
     assert words in error and error.count("\n") == 1
 
 
 @pytest.mark.parametrize("command", ["check-settings", "check-configuration"])
-def test_a_file_that_is_not_there_is_one_line(
+def test_a_missing_file_is_reported_in_one_line(
     command: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert arrowfold(["system", command, str(tmp_path / "none")]) == 2
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize(
     "arguments", [[], ["fly"], ["check-settings"], ["try", "--edges=0"], ["try", "--requests=many"]]
 )
-def test_a_command_that_is_not_understood_is_one_line(
+def test_an_invalid_command_line_is_reported_in_one_line(
     arguments: list[str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert arrowfold(["system", *arguments]) == 2
--- a/tests/system/test_system_layers.py
+++ b/tests/system/test_system_layers.py
@@ -1,4 +1,4 @@
-"""The system's packages use what lies below them and nothing else, and only the planes do network I/O."""
+"""The system's packages import only the packages below them, and only the planes do network I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 PACKAGE = Path(__file__).parents[2] / "arrowfold"
-MAY_USE = {
+ALLOWED_IMPORTS = {
     "node": {"node"},
     "internal": {"internal", "node"},
     "configuration": {"configuration", "node"},
@@ -32,8 +32,8 @@
     },
     "dataplane": {"dataplane", "configuration", "internal", "node", "selection"},
 }
-NO_INPUT_OR_OUTPUT = ("configuration", "registry", "placement", "scaling", "market", "selection")
-INPUT_AND_OUTPUT = {
+WITHOUT_INPUT_OR_OUTPUT = ("configuration", "registry", "placement", "scaling", "market", "selection")
+INPUT_OUTPUT_MODULES = {
     "aiohttp",
     "asyncio",
     "http",
@@ -49,8 +49,8 @@
     "threading",
     "time",
 }
-NETWORK = {"aiohttp", "http", "sanic", "socket", "urllib"}
-WITHOUT_NETWORK = ("storage", "replication")  # these reach other nodes through a port only
+NETWORK_MODULES = {"aiohttp", "http", "sanic", "socket", "urllib"}
+WITHOUT_NETWORK = ("storage", "replication")  # they reach other nodes only through an interface
 
 
 def modules_of(package: str) -> list[Path]:
@@ -71,19 +71,19 @@
     return {name.split(".")[0] for path in modules_of(package) for name in imports_of(path)}
 
 
-@pytest.mark.parametrize("package", MAY_USE)
-def test_a_package_uses_only_what_lies_below_it(package: str) -> None:
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_a_package_imports_only_packages_below_it(package: str) -> None:
     assert len(modules_of(package)) > 1
     for path in modules_of(package):
         used = {name.split(".")[1] for name in imports_of(path) if name.startswith("arrowfold.")}
-        assert used <= MAY_USE[package], path
+        assert used <= ALLOWED_IMPORTS[package], path
 
 
-@pytest.mark.parametrize("package", NO_INPUT_OR_OUTPUT)
-def test_a_package_of_decisions_does_no_input_or_output(package: str) -> None:
-    assert not libraries_of(package) & INPUT_AND_OUTPUT
+@pytest.mark.parametrize("package", WITHOUT_INPUT_OR_OUTPUT)
+def test_a_package_of_decision_logic_does_no_input_or_output(package: str) -> None:
+    assert not libraries_of(package) & INPUT_OUTPUT_MODULES
 
 
 @pytest.mark.parametrize("package", WITHOUT_NETWORK)
-def test_the_control_state_reaches_other_nodes_through_a_port_only(package: str) -> None:
-    assert not libraries_of(package) & NETWORK
+def test_the_control_state_reaches_other_nodes_only_through_an_interface(package: str) -> None:
+    assert not libraries_of(package) & NETWORK_MODULES
--- a/tests/system/virtual_time.py
+++ b/tests/system/virtual_time.py
@@ -1,7 +1,7 @@
 """An event loop whose clock jumps to the next timer instead of waiting.
 
-It does only what stories in memory need: callbacks, timers, tasks and futures. It has no selector, so nothing
-outside the story can wake it, and a turn costs a fraction of asyncio's.
+It supports only what simulations in memory need: callbacks, timers, tasks and futures. It has no selector, so
+nothing outside the simulation can wake it, and an iteration costs a fraction of asyncio's.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 T = TypeVar("T")
 
-LONGEST_STORY_S = 3_600.0  # of virtual time
-SHORTEST_WAIT_S = 2e-9  # what is shorter would not move the clock
-CLOCK_PRECISION_S = 1e-9  # timers that are due within this run together
-MOST_TURNS_AT_ONCE = 100_000  # of the loop, while its clock stands
+MAX_VIRTUAL_TIME_S = 3_600.0
+MIN_DELAY_S = 2e-9  # a shorter delay might not advance the clock
+CLOCK_PRECISION_S = 1e-9  # timers that are due within this time from now run now
+MAX_ITERATIONS_AT_ONE_TIME = 100_000  # while the clock does not advance
 ExceptionHandler = Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object]
 
 
 class Handle:
-    """A callback that waits for its turn or its moment; asyncio's own costs twice as much to make."""
+    """A scheduled callback; creating asyncio's own handle costs twice as much."""
 
     __slots__ = ("args", "callback", "context", "due_s", "is_cancelled")
 
@@ -40,27 +40,27 @@
         self.is_cancelled = False
 
     def cancel(self) -> None:
-        """Don't run it."""
+        """Prevent the callback from running."""
         self.is_cancelled = True
 
     def cancelled(self) -> bool:
-        """Whether it will not run."""
+        """Returns whether the handle was cancelled."""
         return self.is_cancelled
 
     def when(self) -> float:
-        """When it is due, by the loop's clock."""
+        """Returns the time of the loop's clock at which the callback is due."""
         return self.due_s
 
 
 class VirtualTimeLoop(asyncio.AbstractEventLoop):
-    """Runs callbacks in the order in which they became ready, and timers in order of time, at once."""
+    """Runs callbacks in the order in which they became ready, and timers in order of time without waiting."""
 
     def __init__(self) -> None:
         self._now_s = 0.0
         self._ready: deque[Handle] = deque()
         self._timers: list[tuple[float, int, Handle]] = []
-        self._timers_made = 0
-        self._turns_at_once = 0
+        self._timer_count = 0
+        self._iterations_at_one_time = 0
         self._stopping = False
         self._running = False
         self._closed = False
@@ -69,13 +69,13 @@
     # Time, callbacks and timers
 
     def time(self) -> float:
-        """Virtual seconds since the start."""
+        """Returns the virtual seconds since the start."""
         return self._now_s
 
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """Run the callback in the next turn."""
+        """Run the callback in the next iteration."""
         handle = Handle(callback, args, context, self._now_s)
         self._ready.append(handle)
         return handle
@@ -83,31 +83,31 @@
     def call_soon_threadsafe(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """As `call_soon`; of another thread, which could not be played again, it is refused."""
+        """As `call_soon`; raises RuntimeError in another thread, whose timing would not be reproducible."""
         if threading.current_thread() is not threading.main_thread():
-            raise RuntimeError("no other thread may take part in a story")
+            raise RuntimeError("only the main thread may schedule callbacks in a simulation")
         return self.call_soon(callback, *args, context=context)
 
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """As asyncio's, but time that is waited for always passes, as on a real clock."""
-        waited_s = SHORTEST_WAIT_S if 0 < delay < SHORTEST_WAIT_S else delay
-        return self.call_at(self._now_s + waited_s, callback, *args, context=context)
+        """As asyncio's, but a positive delay always advances the clock, as on a real clock."""
+        delay_s = MIN_DELAY_S if 0 < delay < MIN_DELAY_S else delay
+        return self.call_at(self._now_s + delay_s, callback, *args, context=context)
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """Run the callback once the clock has come to `when`; of one moment, the first set runs first."""
+        """Run the callback once the clock reaches `when`; of equal times, the first scheduled runs first."""
         handle = Handle(callback, args, context, when)
-        self._timers_made += 1
-        heapq.heappush(self._timers, (when, self._timers_made, handle))
+        self._timer_count += 1
+        heapq.heappush(self._timers, (when, self._timer_count, handle))
         return handle
 
     # Tasks and futures
 
     def create_future(self) -> asyncio.Future[Any]:
-        """A future of this loop."""
+        """Returns a new future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
@@ -117,45 +117,45 @@
         name: str | None = None,
         context: Context | None = None,
     ) -> asyncio.Task[T]:
-        """A task of this loop."""
+        """Returns a new task of this loop."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def set_exception_handler(self, handler: ExceptionHandler | None) -> None:
-        """Who is told of exceptions that nobody takes."""
+        """Set the function that is called with unhandled exceptions; None prints them."""
         self._exception_handler = handler
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Tell of an exception that nobody takes."""
+        """Report an unhandled exception to the handler, or on standard error without one."""
         if self._exception_handler is not None:
             self._exception_handler(self, context)
             return
         print(f"{context.get('message')}: {context.get('exception')!r}", file=sys.stderr)
 
     def get_debug(self) -> bool:
-        """Never: asyncio's debugging asks for a real clock."""
+        """Returns False: asyncio's debug mode needs a real clock."""
         return False
 
     # Running
 
     def is_running(self) -> bool:
-        """Whether a story runs on it."""
+        """Returns whether the loop is running."""
         return self._running
 
     def is_closed(self) -> bool:
-        """Whether it was closed."""
+        """Returns whether the loop was closed."""
         return self._closed
 
     def stop(self) -> None:
-        """End after this turn."""
+        """Stop after the current iteration."""
         self._stopping = True
 
     def run_until_complete(self, future: Any) -> Any:
-        """Run until the story has ended; its result."""
+        """Run until the future is done; returns its result."""
         task = asyncio.ensure_future(future, loop=self)
         task.add_done_callback(self._stop_after)
         self._run()
         if not task.done():
-            raise RuntimeError("the loop was stopped before the story ended")
+            raise RuntimeError("the loop was stopped before the future was done")
         return task.result()
 
     def run_forever(self) -> None:
@@ -172,7 +172,7 @@
         self._running, self._stopping = True, False
         try:
             while not self._stopping:
-                self._turn()
+                self._run_iteration()
         finally:
             self._running = False
             events._set_running_loop(None)
@@ -182,84 +182,85 @@
         if not self._closed:
             self.create_task(generator.aclose())
 
-    def _turn(self) -> None:
-        """Run what is ready now; if nothing is, move the clock first."""
+    def _run_iteration(self) -> None:
+        """Run what is ready now; if nothing is, advance the clock first."""
         if self._ready:
-            self._turns_at_once += 1
-            if self._turns_at_once > MOST_TURNS_AT_ONCE:
-                raise RuntimeError(f"the clock stands at {self._now_s} s: tasks run without end")
+            self._iterations_at_one_time += 1
+            if self._iterations_at_one_time > MAX_ITERATIONS_AT_ONE_TIME:
+                raise RuntimeError(f"the clock does not advance from {self._now_s} s: tasks run without end")
         else:
-            self._turns_at_once = 0
-            self._jump()
-        self._take_due()
+            self._iterations_at_one_time = 0
+            self._advance_clock()
+        self._queue_due_timers()
         for _ in range(len(self._ready)):
             handle = self._ready.popleft()
             if not handle.is_cancelled:
                 self.run_handle(handle)
 
     def run_handle(self, handle: Handle) -> None:
-        """Run one callback; an exception that nobody takes is told."""
+        """Run one callback and report an unhandled exception."""
         try:
             handle.context.run(handle.callback, *handle.args)
         except Exception as error:
             self.call_exception_handler({"message": f"in {handle.callback!r}", "exception": error})
 
-    def _jump(self) -> None:
-        """Move the clock to the next timer."""
+    def _advance_clock(self) -> None:
+        """Advance the clock to the next timer."""
         timers = self._timers
         while timers and timers[0][2].is_cancelled:
             heapq.heappop(timers)
         if not timers:
-            raise RuntimeError("all tasks wait, and no timer is set")
+            raise RuntimeError("deadlock: all tasks wait and no timer is set")
         self._now_s = max(self._now_s, timers[0][0])
-        if self._now_s > LONGEST_STORY_S:
-            raise RuntimeError("the story does not end")
+        if self._now_s > MAX_VIRTUAL_TIME_S:
+            raise RuntimeError("the simulation does not end")
 
-    def _take_due(self) -> None:
+    def _queue_due_timers(self) -> None:
         timers, ready = self._timers, self._ready
         due = self._now_s + CLOCK_PRECISION_S
         while timers and timers[0][0] < due:
             ready.append(heapq.heappop(timers)[2])
 
     def close(self) -> None:
-        """Drop all that still waits."""
+        """Drop all pending callbacks and timers."""
         self._closed = True
         self._ready.clear()
         self._timers.clear()
 
     async def shutdown_asyncgens(self) -> None:
-        """Nothing: generators are closed as they are dropped."""
+        """Does nothing: generators are closed when they are garbage-collected."""
 
     async def shutdown_default_executor(self, timeout: float | None = None) -> None:
-        """Nothing: there is no executor."""
+        """Does nothing: there is no executor."""
 
 
 class Repeating:
-    """Calls an action again and again, from one interval after now on, until it is cancelled.
+    """Calls an action periodically, for the first time after one interval, until it is cancelled.
 
-    A timer only: a task that sleeps costs twice as much. It belongs to the context in which it was made.
+    It uses a timer, because a task that sleeps costs twice as much. The action runs in the context in which
+    the object was created.
     """
 
     def __init__(self, interval_s: float, action: Callable[[], object]) -> None:
         self._interval_s = interval_s
         self._action = action
         self._loop = asyncio.get_running_loop()
-        self._timer = self._loop.call_later(interval_s, self._act)
+        self._timer = self._loop.call_later(interval_s, self._run_action)
 
-    def _act(self) -> None:
-        self._timer = self._loop.call_later(self._interval_s, self._act)
+    def _run_action(self) -> None:
+        self._timer = self._loop.call_later(self._interval_s, self._run_action)
         self._action()
 
     def cancel(self) -> None:
-        """Call it no more."""
+        """Stop calling the action."""
         self._timer.cancel()
 
 
-def run_virtual(story: Coroutine[Any, Any, T]) -> T:
-    """Run a story to its end in virtual time."""
+def run_virtual(scenario: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine to its end in virtual time; returns its result."""
     loop = VirtualTimeLoop()  # type: ignore[abstract]
     try:
-        result: T = loop.run_until_complete(story)
+        result: T = loop.run_until_complete(scenario)
         return result
     finally:
         loop.close()
