--- a/arrowfold/standins/door.py
+++ b/arrowfold/standins/door.py
@@ -29,18 +29,18 @@
         Returns the request line and the headers, with names in lower case.
         """
         while b"\r\n\r\n" not in self.read:
-            self.more()
+            self._receive()
         head, _, rest = self.read.partition(b"\r\n\r\n")
         request_line, *lines = head.decode("latin-1").split("\r\n")
         headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
         length = int(headers.get("content-length", "0"))
         self.read = rest
         while len(self.read) < length:
-            self.more()
+            self._receive()
         self.read = self.read[length:]
         return request_line, headers
 
-    def more(self) -> None:
+    def _receive(self) -> None:
         """Wait for bytes and append them to `read`; raises EOFError if the node has closed the connection."""
         data = self.sock.recv(65536)
         if not data:
@@ -51,7 +51,7 @@
         """Wait until the node closes the connection, keeping what it sends before that; returns True."""
         try:
             while True:
-                self.more()
+                self._receive()
         except (EOFError, ConnectionError):
             return True
 
@@ -86,10 +86,10 @@
 class Door:
     """A listening socket whose connections a test accepts one by one.
 
-    With `shut`, its backlog is full, so that no connection is even established before `open`.
+    With `fill_backlog`, its backlog is full, so that no connection is even established before `open`.
     """
 
-    def __init__(self, uid: str = "s1", shut: bool = False) -> None:
+    def __init__(self, uid: str = "s1", fill_backlog: bool = False) -> None:
         self.uid = uid
         self.sock = socket.socket()
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -97,16 +97,16 @@
         self.address = "{}:{}".format(*self.sock.getsockname())
         self._backlog_fillers: list[socket.socket] = []  # the last one is not established
         self.peers: list[Peer] = []
-        self.sock.listen(0 if shut else 64)
+        self.sock.listen(0 if fill_backlog else 64)
         self.sock.settimeout(LONG)
-        while shut:
+        while fill_backlog:
             # The kernel drops SYNs while the backlog is full, so the first connection that stays half open
             # shows that it is.
             sock = socket.socket()
             sock.setblocking(False)
             sock.connect_ex(self.sock.getsockname())
             self._backlog_fillers.append(sock)
-            shut = bool(select.select([], [sock], [], 0.1)[1])
+            fill_backlog = bool(select.select([], [sock], [], 0.1)[1])
 
     def accept(self) -> Peer:
         """Wait for the next connection and accept it."""
@@ -119,7 +119,7 @@
         return bool(select.select([self.sock], [], [], seconds)[0])
 
     def open(self) -> None:
-        """Empty the backlog of a `shut` server; waiting clients connect when they send their SYN again."""
+        """Empty the filled backlog; waiting clients connect when they send their SYN again."""
         *established, half_open = self._backlog_fillers
         half_open.close()
         self.sock.listen(64)
