--- a/arrowfold/standins/process.py
+++ b/arrowfold/standins/process.py
@@ -21,7 +21,8 @@
         name: str, effect: str = "safe", limit_ms: int = 20_000, aim_ms: int = 5000) -> dict[str, Any]:
     """Returns the settings of a class: its idempotency, hard limit and latency objective."""
     return {"group": "all", "hardLimitUs": limit_ms * 1000, "idempotency": effect, "importance": 1.0,
-            "lateShare": 0.2, "name": name, "onTimeUs": aim_ms * 1000, "stream": False, "windowUs": 7_500_000}
+            "lateShare": 0.2, "name": name, "onTimeUs": aim_ms * 1000, "stream": False,
+            "windowUs": 7_500_000}
 
 
 # Latency objectives and limits are generous, so that results do not depend on the machine's speed. Tests that
@@ -121,7 +122,8 @@
             request_headers.pop(header.replace("_", "-"), None)
             if value is not None:
                 request_headers[header.replace("_", "-")] = value
-        http_connection = connection or http.client.HTTPConnection("127.0.0.1", self.port, timeout=LONG)
+        http_connection = (
+            connection or http.client.HTTPConnection("127.0.0.1", self.port, timeout=LONG))
         try:
             http_connection.request("POST", path or f"/{name}?key=repo", body, request_headers)
             answer = http_connection.getresponse()
--- a/arrowfold/standins/servers.py
+++ b/arrowfold/standins/servers.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 SLOW_JOB_S = 0.5
-LONG = 20.0  # timeout in seconds of each wait for something that must happen; no result depends on it
+LONG = 20.0  # timeout of each wait for something that must happen; no result depends on it
 LOAD = {"inflight": 1, "x0": 5}  # load report of a worker
 
 
