--- a/arrowfold/program/config.py
+++ b/arrowfold/program/config.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and validates a node's configuration and applies its defaults. No other module does this.
 
-A node's own figures come from the platform (EDGE_* variables and the JSON file that EDGE_CONFIG names); what
-this deployment adds, from a KDL document named on the command line, which `edge.py` beside this file reads.
+The platform supplies the EDGE_* variables and the JSON file that EDGE_CONFIG names. A deployment may add a
+KDL document, named on the command line and read by `arrowfold.program.edge`.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 
 
 class ConfigError(Exception):
-    """Names the key at fault."""
+    """An invalid configuration; the message names the faulty key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that a node is told, checked."""
+    """The validated configuration of a node."""
 
     name: str
     listen: Address
     discovery: Address | None
     admin: Address | None
     seed: int
-    sockets: int
-    memory: int  # bytes
+    sockets: int  # file descriptors that the process may use
+    memory_bytes: int
     settings: api.Settings
-    meanings: Mapping[str, str]  # report field to LoadReport field
-    known: Mapping[str, Any] | None
-    connect_limit: timedelta
-    most_sessions: int
+    load_report_fields: Mapping[str, str]  # field name in workers' reports -> LoadReport field
+    known_workers: Mapping[str, Any] | None
+    connect_timeout: timedelta
+    max_sessions: int
     longest_deadline: timedelta
     edge_file: Path | None
     edge: EdgeDocument | None
-    file: Mapping[str, Any]  # the platform's file, word for word
+    platform_config: Mapping[str, Any]  # the parsed EDGE_CONFIG file, unchanged
 
     @property
     def faktory(self) -> FaktoryConfig | None:
@@ -59,27 +59,27 @@
     def asyncapi(self) -> Path | None:
         return self.edge.asyncapi if self.edge is not None else None
 
-    def changed(self, other: Config) -> list[str]:
-        """The keys in which another configuration differs from this one."""
-        keys = sorted({*self.file, *other.file})
-        return [key for key in keys if self.file.get(key) != other.file.get(key)] + [
+    def changed_keys(self, other: Config) -> list[str]:
+        """Returns the top-level keys and document nodes in which `other` differs from this configuration."""
+        keys = sorted({*self.platform_config, *other.platform_config})
+        return [key for key in keys if self.platform_config.get(key) != other.platform_config.get(key)] + [
             key for key in ("faktory", "openapi", "asyncapi", "trace")
             if getattr(self.edge, key, None) != getattr(other.edge, key, None)]
 
 
-class _Reader:
-    """Values by key, with messages that name the key."""
+class _ValueReader:
+    """Type-checked access to a mapping; errors name the key with its prefix."""
 
     def __init__(self, values: Mapping[str, Any], prefix: str) -> None:
         self.values, self.prefix = values, prefix
 
-    def get(self, key: str, kind: type | tuple[type, ...], default: Any = ...) -> Any:
+    def get(self, key: str, expected_type: type | tuple[type, ...], default: Any = ...) -> Any:
         value = self.values.get(key)
         if value is None:
             if default is ...:
                 raise ConfigError(f"{self.prefix}{key} is missing")
             return default
-        if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        if not isinstance(value, expected_type) or (isinstance(value, bool) and expected_type is not bool):
             raise ConfigError(f"{self.prefix}{key} has the wrong type: {type(value).__name__}")
         return value
 
@@ -96,12 +96,12 @@
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"EDGE_CONFIG: {path}: {error}") from error
     if not isinstance(value, dict):
-        raise ConfigError(f"EDGE_CONFIG: {path}: not an object")
+        raise ConfigError(f"EDGE_CONFIG: {path}: not a JSON object")
     return value
 
 
 def _read_edge(path: Path | None) -> EdgeDocument | None:
-    """The deployment's own document, if one is named; the platform's node loads none of its libraries."""
+    """Reads the deployment's document, if one is named; without one, the KDL libraries are not imported."""
     if path is None:
         return None
     from arrowfold.program.document import DocumentError
@@ -114,24 +114,25 @@
 
 
 def read_settings(path: Path) -> tuple[api.Settings, list[tuple[str, str]]]:
-    """The platform's settings from a file, which may be a node's whole configuration; zones and kinds listed.
+    """Reads the platform's settings from a file that holds only them or a node's whole configuration.
 
-    ConfigError names the file and the faulty key.
+    Returns the settings and the (zone, kind) pairs of the workers that the file lists as known. Raises
+    ConfigError, which names the file and the faulty key.
     """
     try:
         value = json.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from error
     if not isinstance(value, dict):
-        raise ConfigError(f"{path}: not an object")
-    conf, known = value.get("settings", value), value.get("known")
-    targets = known.get("targets") if isinstance(known, dict) else None
-    pairs = [(str(target.get("az") or ""), str(target.get("model") or ""))
+        raise ConfigError(f"{path}: not a JSON object")
+    raw_settings, known_workers = value.get("settings", value), value.get("known")
+    targets = known_workers.get("targets") if isinstance(known_workers, dict) else None
+    zones_and_kinds = [(str(target.get("az") or ""), str(target.get("model") or ""))
              for target in targets or [] if isinstance(target, dict)]
     try:
-        _check_kinds(conf)
-        _check_figures(conf)
-        return build_settings(conf), pairs
+        _check_types(raw_settings)
+        _check_positive_numbers(raw_settings)
+        return build_settings(raw_settings), zones_and_kinds
     except ConfigError as error:
         raise ConfigError(f"{path}: {error}") from error
     except KeyError as error:
@@ -140,8 +141,8 @@
         raise ConfigError(f"{path}: settings: {error}") from error
 
 
-MOST_FIGURE = 1e15  # microseconds, in years some thirty; far beyond what any figure here can mean
-_FIGURES = {
+MAX_NUMBER = 1e15  # about 30 years in microseconds, beyond any meaningful value
+_NUMBER_KEYS = {
     "": ("fleetSize", "myNumber", "tickUs", "overShareWorth"),
     "contract": ("answerSlackUs", "askWithinUs", "coldFrom", "coldUs", "overloadFactor", "overloadForUs",
                  "stopSendingWithinUs"),
@@ -149,90 +150,93 @@
     "domain": ("progressUs",),
     "prices": ("connection", "crossZone", "handshake", "lateFail", "origin", "probe", "waste"),
 }
-_SWITCHES = {
+_BOOLEAN_KEYS = {
     "permissions": ("cancel", "probes", "retryAfter", "secondCopies"), "domain": ("tellsStart",)}
-_TEXTS = {"": ("discovery", "locality", "valueBy"), "report": ("source",), "domain": ("reportX0", "reportX1")}
-_OF_A_CLASS = ("windowUs", "importance", "lateShare", "aimStretch")
+_STRING_KEYS = {
+    "": ("discovery", "locality", "valueBy"), "report": ("source",), "domain": ("reportX0", "reportX1")}
+_CLASS_NUMBER_KEYS = ("windowUs", "importance", "lateShare", "aimStretch")
 
 
-def _check_kinds(conf: Mapping[str, Any]) -> None:
-    """Guards against settings of the wrong kind, which would fail only once the module counts with them.
+def _check_types(raw_settings: Mapping[str, Any]) -> None:
+    """Rejects settings of the wrong type, which would otherwise fail only when the dispatcher uses them.
 
-    What is absent or null has a neutral value; what is not known here is passed over.
+    Absent and null settings have a neutral default; unknown keys are ignored.
     """
-    for section in dict.fromkeys([*_FIGURES, *_SWITCHES, *_TEXTS]):
-        path, rows = (f"settings.{section}.", conf.get(section)) if section else ("settings.", conf)
+    for section in dict.fromkeys([*_NUMBER_KEYS, *_BOOLEAN_KEYS, *_STRING_KEYS]):
+        path, rows = (
+            (f"settings.{section}.", raw_settings.get(section)) if section else ("settings.", raw_settings))
         if rows is None:
             continue
         if not isinstance(rows, dict):
-            raise ConfigError(f"{path.removesuffix('.')} is no object")
-        for key in _FIGURES.get(section, ()):
-            _check_figure(rows.get(key), f"{path}{key}")
-        for kinds, kind, word in ((_SWITCHES, bool, "neither true nor false"), (_TEXTS, str, "no text")):
-            for key in kinds.get(section, ()):
-                if not isinstance(rows.get(key), kind | None):
-                    raise ConfigError(f"{path}{key} is {word}")
-    names = (conf.get("report") or {}).get("names") or []
+            raise ConfigError(f"{path.removesuffix('.')} is not an object")
+        for key in _NUMBER_KEYS.get(section, ()):
+            _check_number(rows.get(key), f"{path}{key}")
+        for keys_by_section, expected_type, problem in (
+                (_BOOLEAN_KEYS, bool, "not a boolean"), (_STRING_KEYS, str, "not a string")):
+            for key in keys_by_section.get(section, ()):
+                if not isinstance(rows.get(key), expected_type | None):
+                    raise ConfigError(f"{path}{key} is {problem}")
+    names = (raw_settings.get("report") or {}).get("names") or []
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise ConfigError("settings.report.names is no list of names")
-    if "classes" not in conf:
+        raise ConfigError("settings.report.names is not a list of strings")
+    if "classes" not in raw_settings:
         raise ConfigError("settings.classes is missing")
-    classes = conf["classes"]
+    classes = raw_settings["classes"]
     if not isinstance(classes, list) or not classes:
-        raise ConfigError("settings.classes is no list of classes")
-    for n, row in enumerate(classes):
-        path = f"settings.classes[{n}]"
+        raise ConfigError("settings.classes is not a non-empty list of classes")
+    for index, row in enumerate(classes):
+        path = f"settings.classes[{index}]"
         if not isinstance(row, dict):
-            raise ConfigError(f"{path} is no object")
+            raise ConfigError(f"{path} is not an object")
         for key in ("name", "hardLimitUs", "onTimeUs"):
             if key not in row:
                 raise ConfigError(f"{path}.{key} is missing")
-        for key in _OF_A_CLASS:
-            _check_figure(row.get(key), f"{path}.{key}")
+        for key in _CLASS_NUMBER_KEYS:
+            _check_number(row.get(key), f"{path}.{key}")
         if not isinstance(row["name"], str) or not row["name"]:
-            raise ConfigError(f"{path}.name is no name")
+            raise ConfigError(f"{path}.name is not a non-empty string")
         if not isinstance(row.get("stream"), bool | None):
-            raise ConfigError(f"{path}.stream is neither true nor false")
-        if row.get("idempotency", "safe") not in [kind.value for kind in api.Idempotency]:
-            raise ConfigError(f"{path}.idempotency is none of safe, keyed and unsafe")
+            raise ConfigError(f"{path}.stream is not a boolean")
+        if row.get("idempotency", "safe") not in [idempotency.value for idempotency in api.Idempotency]:
+            raise ConfigError(f"{path}.idempotency is not one of safe, keyed and unsafe")
 
 
-def _check_figure(value: object, path: str) -> None:
+def _check_number(value: object, path: str) -> None:
     if value is not None and (
-            isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < MOST_FIGURE):
-        raise ConfigError(f"{path} is no number from 0 to {MOST_FIGURE:g}")
+            isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < MAX_NUMBER):
+        raise ConfigError(f"{path} is not a number from 0 to {MAX_NUMBER:g}")
 
 
-def _check_figures(conf: Mapping[str, Any]) -> None:
-    """Guards against settings that say nothing: deadlines, aims or attempts that are no positive number."""
-    allowed = conf.get("permissions") or {}
-    rows = [(f"classes[{n}].{key}", row[key]) for n, row in enumerate(conf["classes"])
+def _check_positive_numbers(raw_settings: Mapping[str, Any]) -> None:
+    """Rejects deadlines, latency objectives, timeouts and attempt limits that are not positive numbers."""
+    permissions = raw_settings.get("permissions") or {}
+    rows = [(f"classes[{index}].{key}", row[key]) for index, row in enumerate(raw_settings["classes"])
             for key in ("hardLimitUs", "onTimeUs")]
-    if allowed.get("connectTimeoutUs") is not None:
-        rows.append(("permissions.connectTimeoutUs", allowed["connectTimeoutUs"]))
-    if allowed.get("sendCap") is not None:
-        rows.append(("permissions.sendCap", allowed["sendCap"]))
-        if allowed["sendCap"] != int(allowed["sendCap"]):
-            raise ValueError("permissions.sendCap is no whole number")
+    if permissions.get("connectTimeoutUs") is not None:
+        rows.append(("permissions.connectTimeoutUs", permissions["connectTimeoutUs"]))
+    if permissions.get("sendCap") is not None:
+        rows.append(("permissions.sendCap", permissions["sendCap"]))
+        if permissions["sendCap"] != int(permissions["sendCap"]):
+            raise ValueError("permissions.sendCap is not an integer")
     for key, value in rows:
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < 1e15:
-            raise ValueError(f"{key} is no positive number")
+            raise ValueError(f"{key} is not a positive number")
 
 
-def _check_whole(fresh: object, running: object, path: str) -> None:
-    """Guards against a file that was cut off: what the running one has must be there, in every class too."""
+def _check_complete(updated: object, running: object, path: str) -> None:
+    """Rejects a truncated file: each key of the running configuration and of its classes must be present."""
     if isinstance(running, dict):
-        if not isinstance(fresh, dict):
-            raise ConfigError(f"{path or 'the file'} is no object")
+        if not isinstance(updated, dict):
+            raise ConfigError(f"{path or 'the file'} is not an object")
         for key, value in running.items():
-            if key not in fresh or (fresh[key] is None and value is not None):
+            if key not in updated or (updated[key] is None and value is not None):
                 raise ConfigError(f"{path}{key} is missing")
             if key not in ("known", "limits", "tenants"):
-                _check_whole(fresh[key], value, f"{path}{key}.")
-    elif path == "settings.classes." and isinstance(running, list) and isinstance(fresh, list):
+                _check_complete(updated[key], value, f"{path}{key}.")
+    elif path == "settings.classes." and isinstance(running, list) and isinstance(updated, list):
         common = set.intersection(*(set(row) for row in running))
-        for n, row in enumerate(fresh):
-            _check_whole(row, dict.fromkeys(common), f"settings.classes[{n}].")
+        for index, row in enumerate(updated):
+            _check_complete(row, dict.fromkeys(common), f"settings.classes[{index}].")
 
 
 def _read_seed(value: object) -> int:
@@ -241,56 +245,59 @@
     try:
         return int(str(value), 16)
     except ValueError:
-        raise ConfigError(f"seed: {value!r} is no hexadecimal number") from None
+        raise ConfigError(f"seed: {value!r} is not a hexadecimal number") from None
 
 
 def read_config(
-        environ: Mapping[str, str], edge_file: Path | None, first: Config | None = None,
+        environ: Mapping[str, str], edge_file: Path | None, initial: Config | None = None,
         running: Config | None = None,
 ) -> Config:
-    """Read and check it all; ConfigError names the faulty key.
+    """Reads and validates the whole configuration. Raises ConfigError, which names the faulty key.
 
-    `running` is what a running node goes by, `first` what it started with: the environment overrides a key
-    of the file only while the file says what it said then, for the environment can't follow a change.
+    On a reload, `running` is the configuration in use and `first` the one that the node started with. An
+    environment variable overrides a key of the file only while the file still has its initial value for that
+    key: the environment of a running process cannot be updated along with the file.
     """
     path = environ.get("EDGE_CONFIG")
     if not path:
         raise ConfigError("EDGE_CONFIG is missing")
-    file = _read_json(path)
+    platform_config = _read_json(path)
     if running is not None:
-        _check_whole(file, running.file, "")
-    values = dict(file)
+        _check_complete(platform_config, running.platform_config, "")
+    values = dict(platform_config)
     for variable, key in (("EDGE_NAME", "name"), ("EDGE_LISTEN", "listen"),
                           ("EDGE_DISCOVERY", "discovery"), ("EDGE_ADMIN", "admin")):
-        if environ.get(variable) and (first is None or file.get(key) == first.file.get(key)):
+        if environ.get(variable) and (
+                initial is None or platform_config.get(key) == initial.platform_config.get(key)):
             values[key] = environ[variable]
-    reader = _Reader(values, "")
-    conf = reader.get("settings", dict)
+    reader = _ValueReader(values, "")
+    raw_settings = reader.get("settings", dict)
     try:
-        _check_kinds(conf)
-        _check_figures(conf)
-        settings, row = build_settings(conf), report_fields(conf)
+        _check_types(raw_settings)
+        _check_positive_numbers(raw_settings)
+        settings, field_names = build_settings(raw_settings), report_fields(raw_settings)
     except KeyError as error:
         raise ConfigError(f"settings: key {error.args[0]} is missing") from error
     except (ValueError, TypeError, AttributeError, IndexError) as error:
         raise ConfigError(f"settings: {error}") from error
-    names = (conf.get("report") or {}).get("names") or []
-    meanings = {name: field for name, field in zip(names, row, strict=False) if field}
-    limits = _Reader(reader.get("limits", dict, {}), "limits.")
+    names = (raw_settings.get("report") or {}).get("names") or []
+    load_report_fields = {name: field for name, field in zip(names, field_names, strict=False) if field}
+    limits = _ValueReader(reader.get("limits", dict, {}), "limits.")
     sockets = limits.get("sockets", int, 1024)
     if sockets < 64:
         raise ConfigError("limits.sockets must be at least 64")
-    memory = limits.get("memory_mb", (int, float), 192)
-    if memory < 16:
+    memory_mb = limits.get("memory_mb", (int, float), 192)
+    if memory_mb < 16:
         raise ConfigError("limits.memory_mb must be at least 16")
-    allowed = _Reader(conf.get("permissions") or {}, "settings.permissions.")
+    permissions = _ValueReader(raw_settings.get("permissions") or {}, "settings.permissions.")
     return Config(
         name=reader.get("name", str, "node"), listen=reader.address("listen"),
         discovery=reader.address("discovery") if values.get("discovery") else None,
         admin=reader.address("admin") if values.get("admin") else None,
-        seed=_read_seed(values.get("seed", 0)), sockets=sockets, memory=int(memory * 2**20),
-        settings=settings, meanings=meanings, known=reader.get("known", dict, None),
-        connect_limit=timedelta(microseconds=allowed.get("connectTimeoutUs", int, 250_000)),
-        most_sessions=allowed.get("openCap", int, 30_000),
+        seed=_read_seed(values.get("seed", 0)), sockets=sockets, memory_bytes=int(memory_mb * 2**20),
+        settings=settings, load_report_fields=load_report_fields,
+        known_workers=reader.get("known", dict, None),
+        connect_timeout=timedelta(microseconds=permissions.get("connectTimeoutUs", int, 250_000)),
+        max_sessions=permissions.get("openCap", int, 30_000),
         longest_deadline=timedelta(microseconds=max(c.deadline_us for c in settings.classes)),
-        edge_file=edge_file, edge=_read_edge(edge_file), file=file)
+        edge_file=edge_file, edge=_read_edge(edge_file), platform_config=platform_config)
--- a/arrowfold/program/node.py
+++ b/arrowfold/program/node.py
@@ -1,4 +1,4 @@
-"""Wires one node: loop, core, fronts, discovery; its signals and its end."""
+"""Assembles and runs one node: event loop, routing core, fronts, discovery, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from arrowfold.program.config import Config, ConfigError, read_config
 from arrowfold.program.log import Log
 from arrowfold.program.signals import Signals
-from arrowfold.program.succession import Message, Succession, inherit, place_of
+from arrowfold.program.succession import Message, Succession, request_handover, socket_path
 from arrowfold.protocol.admin import Admin, Call, Refused
 from arrowfold.protocol.descriptions import load_asyncapi, load_openapi
 from arrowfold.protocol.discovery import SOURCE, Discovery
@@ -36,69 +36,73 @@
     from arrowfold.quotas.gate import Gate
     from arrowfold.repeats.store import Store
 
-RESERVED = 48  # descriptors for the program itself, discovery and connections about to be closed
-IDLE_SHARE = 8  # one descriptor in this many may be a client's idle connection
-BODIES_SHARE = 8  # one part in this many of the memory may hold clients' bodies
-LEAST_DRAIN = timedelta(milliseconds=1000)  # clients learn of a restart in up to 0.7 s
-DRAIN_STEP = timedelta(milliseconds=20)
-LONGEST_DRAIN = timedelta(seconds=3)  # the longest deadline counts as this where it is longer
-SIGKILL_AFTER = timedelta(milliseconds=700)  # after that
-LEAVE_BEFORE = timedelta(milliseconds=600)  # clients move away this long before SIGKILL
-LONGEST_START = timedelta(seconds=1)  # a newcomer waits this long for the list before it serves
-LAST_JOB = timedelta(milliseconds=400)  # clients that could still come would have come since
-LAST_BEATS = timedelta(milliseconds=100)
-LAST_CALL = timedelta(milliseconds=200)  # and what is still owed then is answered
-LAST_WORDS = timedelta(milliseconds=120)  # so long an answer may take to go out
+RESERVED_DESCRIPTORS = 48  # file descriptors for the program itself, discovery and connections being closed
+IDLE_CONNECTION_DIVISOR = 8  # at most one descriptor in this many holds a client's idle connection
+BODY_MEMORY_DIVISOR = 8  # at most this fraction (1/n) of the memory holds request bodies
+MIN_DRAIN = timedelta(milliseconds=1000)  # clients need up to 0.7 s to notice a restart
+DRAIN_POLL_INTERVAL = timedelta(milliseconds=20)
+MAX_DRAIN_DEADLINE = timedelta(seconds=3)  # upper bound of the longest deadline in the shutdown schedule
+SIGKILL_DELAY = timedelta(milliseconds=700)  # time from that deadline to SIGKILL
+CLIENT_CLOSE_LEAD = timedelta(milliseconds=600)  # clients' connections start to close so long before SIGKILL
+MAX_START_WAIT = timedelta(seconds=1)  # maximum time that a successor waits for the worker list
+IDLE_FRONT_TIME = timedelta(milliseconds=400)  # after this long without requests no client is expected
+QUIET_NOTICE = timedelta(milliseconds=100)  # for heartbeats of Faktory workers to receive the quiet state
+FINAL_ANSWER_LEAD = timedelta(milliseconds=200)  # requests still open this long before SIGKILL are answered
+FINAL_WRITE_TIMEOUT = timedelta(milliseconds=120)  # maximum time for the last answers to be written
 
 
 class Node:
-    """One running node."""
+    """One running node. Raises ConfigError or OSError where its configuration cannot be applied."""
 
     def __init__(self, config: Config, signals: Signals) -> None:
         self.config, self.signals, self.log = config, signals, _open_log(config)
-        self.running = config  # what SIGHUP last brought
+        self.running_config = config  # as of the last accepted SIGHUP
         self.counters: Counter[str] = Counter()
-        self.loop = Loop(self._fault)
+        self.loop = Loop(self._report_fault)
         self.stop_at: timedelta | None = None
-        self.left_at = self.loop.now()  # when clients were told to move away
-        place = place_of(config.name, config.listen)
-        self.inherited = inherit(place)
+        self.close_began_at = self.loop.now()  # when the node began to close clients' connections
+        path = socket_path(config.name, config.listen)
+        self.handover = request_handover(path)
         self.succession = Succession(
-            self.loop, place, self._describe, self._apply, self._share_limits, self.log)
-        self.budget = budget = Budget(config.sockets - RESERVED)
+            self.loop, path, self._export_state, self._apply_command, self._on_links_changed, self.log)
+        self.budget = budget = Budget(config.sockets - RESERVED_DESCRIPTORS)
         self.pools = Pools(budget)
         settings = config.settings
         self.trace: TraceFile | None = None
         self.core = Core(
-            settings, config.seed, self.loop, self.counters, self._ask_list, self.log, config.most_sessions)
+            settings, config.seed, self.loop, self.counters, self._request_worker_list, self.log,
+            config.max_sessions)
         self.core.routes = compile_routes(config)
         self._open_quotas(config)
         self.core.repeats = open_store(config, self.loop.now(), self.counters)
-        self.succession.on_charge = self._follow_charge
+        self.succession.on_charge = self._apply_remote_charge
         if config.edge is not None and config.edge.trace is not None:
             self._open_trace(config.edge.trace)
-        self.core.held_elsewhere, self.core.on_session = self.succession.holds, self.succession.note_session
-        self.loads = LoadReader(config.meanings)
-        self.idle = _idle_span(settings)
+        self.core.held_elsewhere, self.core.on_session = (
+            self.succession.is_session_open, self.succession.send_session_change)
+        self.load_reader = LoadReader(config.load_report_fields)
+        self.idle_timeout = _idle_timeout(settings)
         self.discovery = Discovery(
             self.loop, config.discovery, self.core, self._make_server, self.counters, self.log,
             config.seed)
-        self.classes = classes = {c.name: c for c in settings.classes}  # as the fronts know them
-        # With two fronts, neither fills the house alone.
+        # Shared with the fronts and updated in place on reload.
+        self.classes = classes = {c.name: c for c in settings.classes}
+        # With two fronts, each may use at most 75% of the connection budget: neither can exhaust it alone.
         share = 0.75 if config.faktory else 1.0
         openapi = load_openapi(config.openapi) if config.openapi else None
         asyncapi = load_asyncapi(config.asyncapi) if config.asyncapi else None
         self.front = Front(
-            self.loop, config.listen, self.core, classes, budget, share, config.memory // BODIES_SHARE,
-            config.sockets // IDLE_SHARE, self.counters, openapi, self._listener(config.listen))
+            self.loop, config.listen, self.core, classes, budget, share,
+            config.memory_bytes // BODY_MEMORY_DIVISOR, config.sockets // IDLE_CONNECTION_DIVISOR,
+            self.counters, openapi, self._listener(config.listen))
         self.faktory = None if config.faktory is None else FaktoryFront(
             self.loop, config.faktory.listen, config.faktory.password, self.core, settings.zone, classes,
-            budget, share, config.connect_limit, self.counters, asyncapi,
+            budget, share, config.connect_timeout, self.counters, asyncapi,
             self._listener(config.faktory.listen))
 
         try:
             self.admin = None if config.admin is None else Admin(
-                self.loop, config.admin, self._obey, self.counters, self.log)
+                self.loop, config.admin, self._handle_command, self.counters, self.log)
         except OSError as error:
             raise ConfigError(f"admin: {error}") from error
 
@@ -114,24 +118,24 @@
 
     # --- operators ---------------------------------------------------------------------------------------
 
-    def _obey(self, call: Call) -> Steps[str]:
-        """Do what an operator asks; what it says once this returns holds."""
+    def _handle_command(self, call: Call) -> Steps[str]:
+        """Executes an operator's command and returns its confirmation; the command is in effect by then."""
         if call.name == "status":
             if (why := self.front.why_not_ready()) is not None:
                 raise Refused(f"not ready: {why}")
-            out = sorted(self.core.table.out)
-            return f"ready; in maintenance: {', '.join(out) or 'none'}"
+            in_maintenance = sorted(self.core.table.out)
+            return f"ready; in maintenance: {', '.join(in_maintenance) or 'none'}"
         if call.name.startswith("quota"):
             return self._quota(call)
         if call.name.startswith("maint-") and not self.core.table.known(call.argument):
             raise Refused(f"no backend server {call.argument[:80]!r} is known")
-        self._apply(call.name, call.argument)
-        if not (yield from self.succession.tell(call.name, call.argument)):
+        self._apply_command(call.name, call.argument)
+        if not (yield from self.succession.forward_call(call.name, call.argument)):
             raise Refused("done here, but the other process of this node did not confirm it")
         return f"{call}"
 
     def _quota(self, call: Call) -> str:
-        """A level's balances in a line, or their end. The other process of the node, if any, has its own."""
+        """Shows or resets a quota level's balances. Another process of this node keeps its own balances."""
         if self.core.quotas is None:
             raise Refused("no quotas are set")
         if (fault := self.core.quotas.check(call.argument)) is not None:
@@ -141,12 +145,12 @@
             if not ledger.reset(path):
                 raise Refused(f"{call.argument[:80]!r} has used nothing here")
             return f"{call}"
-        said = ledger.describe(path, to_us(self.loop.now()))
-        if not said:
+        balances = ledger.describe(path, to_us(self.loop.now()))
+        if not balances:
             raise Refused(f"{call.argument[:80]!r} has used nothing here, or has no limits")
-        return f"{call}: " + "; ".join(said)
+        return f"{call}: " + "; ".join(balances)
 
-    def _apply(self, name: str, argument: str) -> None:
+    def _apply_command(self, name: str, argument: str) -> None:
         if name == "maint-on":
             self.core.take_out(argument)
         elif name == "maint-off":
@@ -156,27 +160,28 @@
             if self.faktory is not None:
                 self.faktory.stand_by(name == "standby")
 
-    def _fault(self, where: str, error: BaseException) -> None:
+    def _report_fault(self, where: str, error: BaseException) -> None:
         self.counters["faults"] += 1
-        place, trace = "", error.__traceback__
+        location, trace = "", error.__traceback__
         while trace is not None:
-            place, trace = f"{trace.tb_frame.f_code.co_filename}:{trace.tb_lineno}", trace.tb_next
-        self.log("fault", where=where, error=f"{type(error).__name__}: {error}", at=place)
+            location, trace = f"{trace.tb_frame.f_code.co_filename}:{trace.tb_lineno}", trace.tb_next
+        self.log("fault", where=where, error=f"{type(error).__name__}: {error}", at=location)
 
     def _make_server(self, address: Address) -> SearchWorker:
         return SearchWorker(
-            self.loop, address, self.idle, self.running.connect_limit, self.pools, self.loads, self.counters)
+            self.loop, address, self.idle_timeout, self.running_config.connect_timeout, self.pools,
+            self.load_reader, self.counters)
 
-    def _ask_list(self, follow: bool) -> None:
+    def _request_worker_list(self, follow: bool) -> None:
         self.discovery.ask(follow)
 
     # --- replacing the process ---------------------------------------------------------------------------
 
     def _listener(self, address: Address) -> socket.socket | None:
-        return self.inherited.listener(address) if self.inherited is not None else None
+        return self.handover.listener(address) if self.handover is not None else None
 
-    def _describe(self) -> tuple[Message, tuple[int, ...]]:
-        """What a newcomer gets: what it must know to act as this process would, and the listening sockets."""
+    def _export_state(self) -> tuple[Message, tuple[int, ...]]:
+        """Returns the state that a successor continues with, and the listening sockets' descriptors."""
         table = self.core.table
         listeners = [front.listener.sock for front in (self.front, self.faktory) if front is not None]
         return {
@@ -186,58 +191,61 @@
             "quotas": self.core.quotas.ledger.state() if self.core.quotas is not None else None,
         }, tuple(sock.fileno() for sock in listeners if sock.fileno() >= 0)
 
-    def _follow(self) -> None:
-        """Begin where the predecessor is now."""
-        assert self.inherited is not None
-        state = self.inherited.state
+    def _restore_state(self) -> None:
+        """Adopts the predecessor's state: maintenance, standby, quota balances and the worker list."""
+        assert self.handover is not None
+        state = self.handover.state
         self.core.table.out.update(state.get("maintenance") or {})
         if self.trace is not None:
             for name in self.core.table.out:
                 self.trace.called(name, True)
         self.core.table.back.update({n: tuple(pair) for n, pair in (state.get("back") or {}).items()})
         if state.get("standby"):
-            self._apply("standby", "")
+            self._apply_command("standby", "")
         if self.core.quotas is not None and state.get("quotas"):
             self.core.quotas.ledger.restore(state["quotas"], to_us(self.loop.now()))
-        known = state["known"]
+        known_workers = state["known"]
         if list(self.discovery.address or ()) != list(state.get("discovery") or ()):
-            known["rev"] = None  # versions count at one address
-        self.discovery.take(known, api.RosterMode.PERSISTED)
+            known_workers["rev"] = None  # list versions are only comparable within one discovery address
+        self.discovery.take(known_workers, api.RosterMode.PERSISTED)
 
     def _open_quotas(self, config: Config) -> None:
         self.core.quotas = open_gate(config, self.loop.now())
-        self._share_charges()
+        self._set_charge_forwarding()
 
-    def _share_charges(self) -> None:
-        """While there is another process, it is told of each charge."""
+    def _set_charge_forwarding(self) -> None:
+        """Forwards quota charges while another process of this node is connected."""
         if self.core.quotas is not None:
-            self.core.quotas.ledger.on_charge = self.succession.note_charge if self.succession.links else None
+            self.core.quotas.ledger.on_charge = self.succession.send_charge if self.succession.links else None
 
-    def _follow_charge(self, row: Any) -> None:
-        """The other process has let a job in, or settled it: here it counts too."""
+    def _apply_remote_charge(self, row: Any) -> None:
+        """Applies a charge of the other process: it has admitted a request or settled it."""
         if self.core.quotas is not None:
             try:
                 self.core.quotas.ledger.follow(row, to_us(self.loop.now()))
             except ValueError as error:
                 self.log("succession_bad_charge", error=str(error))
 
-    def _share_limits(self) -> None:
-        """Two processes of a node hold half of its descriptors each, and each other's charges."""
-        self._share_charges()
-        most = self.config.sockets - RESERVED
+    def _on_links_changed(self) -> None:
+        """Halves the descriptor budget while two processes of the node run, and forwards quota charges."""
+        self._set_charge_forwarding()
+        descriptor_limit = self.config.sockets - RESERVED_DESCRIPTORS
         if self.succession.links:
-            most = max(self.config.sockets // 2 - RESERVED, self.config.sockets // 8)
-        self.budget.resize(most)
-        if self.stop_at is not None and self.succession.succeeded:
+            descriptor_limit = max(self.config.sockets // 2 - RESERVED_DESCRIPTORS, self.config.sockets // 8)
+        self.budget.resize(descriptor_limit)
+        if self.stop_at is not None and self.succession.has_serving_successor:
             self._retire()
-        elif self.stop_at is None and not self.front.starting and not self.succession.succeeded \
-                and self.succession.sock is not None and not self.succession.in_place():
-            self.succession.publish()  # the newcomer has gone again: the next one is to find this process
-
-    def _start_when_known(self, until: timedelta) -> None:
-        """Accept, and say yes, once the list has come; a predecessor serves until then."""
-        if not self.core.listed and self.loop.now() < until and self.succession.links:
-            self.loop.call_later(DRAIN_STEP, lambda: self._start_when_known(until))
+        elif self.stop_at is None and not self.front.starting and not self.succession.has_serving_successor \
+                and self.succession.sock is not None and not self.succession.is_published():
+            self.succession.publish()  # the successor ended early; the next one must find this process
+
+    def _start_when_listed(self, deadline: timedelta) -> None:
+        """Starts the fronts once the worker list is known or `deadline` is reached.
+
+        It waits only while a predecessor is connected, which serves until then.
+        """
+        if not self.core.listed and self.loop.now() < deadline and self.succession.links:
+            self.loop.call_later(DRAIN_POLL_INTERVAL, lambda: self._start_when_listed(deadline))
             return
         self.front.start()
         if self.faktory is not None:
@@ -246,7 +254,7 @@
         self.log("listens", address=f"{self.config.listen[0]}:{self.config.listen[1]}")
 
     def _retire(self) -> None:
-        """The newcomer serves: stop accepting, serve what is here, and go as soon as nothing is owed."""
+        """Stops accepting once the successor serves; the process ends when its open requests are answered."""
         if not self.front.retired:
             self.log("retires")
             self.front.retire()
@@ -254,22 +262,22 @@
                 self.faktory.retire()
 
     def run(self) -> int:
-        """Serve until a signal and what is owed let it end."""
+        """Serves until a signal arrives and all open requests are answered. Returns the exit code."""
         self.loop.watch(self.signals.fileno(), self)
-        if self.inherited is not None:
+        if self.handover is not None:
             try:
-                self._follow()
+                self._restore_state()
             except (ValueError, KeyError, TypeError, AttributeError) as error:
                 self.log("succession_bad_state", error=f"{type(error).__name__}: {error}")
-            self.succession.meet(self.inherited)
-            self.inherited.close_rest()
-            # The predecessor follows the list: this goes on with it, without a gap.
-            self.discovery.begin(LONGEST_START, at_once=True)
+            self.succession.attach_predecessor(self.handover)
+            self.handover.close_unused()
+            # The predecessor's worker list was current, so following it continues without a gap.
+            self.discovery.begin(MAX_START_WAIT, at_once=True)
         else:
-            self._take_known()
+            self._load_known_workers()
             self.discovery.begin()
         gc.freeze()
-        self._start_when_known(self.loop.now() + LONGEST_START)
+        self._start_when_listed(self.loop.now() + MAX_START_WAIT)
         self.loop.run()
         self.succession.withdraw()
         if self.trace is not None:
@@ -277,18 +285,18 @@
         self._print_counters()
         return 0
 
-    def _take_known(self) -> None:
-        known: Any = self.config.known or {"all": True, "targets": []}
+    def _load_known_workers(self) -> None:
+        known_workers: Any = self.config.known_workers or {"all": True, "targets": []}
         try:
-            self.discovery.take(known, api.RosterMode.PERSISTED)
+            self.discovery.take(known_workers, api.RosterMode.PERSISTED)
         except ValueError as error:
             self.log("known_refused", error=str(error))
             self.core.list_servers(SOURCE, (), api.RosterMode.PERSISTED, shared=True)
 
-    # --- signals and the end -----------------------------------------------------------------------------
+    # --- signals and shutdown ----------------------------------------------------------------------------
 
     def on_ready(self, mask: int) -> None:
-        """Signals have come in; of several SIGHUPs at once, one reading of the file serves all."""
+        """Handles the signals received since the last call; several SIGHUPs cause one reload."""
         del mask
         numbers = self.signals.take()
         if signal.SIGHUP in numbers:
@@ -297,118 +305,122 @@
             if number == signal.SIGUSR1:
                 self._print_counters()
             elif number != signal.SIGHUP and self.stop_at is None:
-                # By the shorter of the settings it started with and those now: SIGKILL may follow either.
-                longest = min(self.config.longest_deadline, self.running.longest_deadline)
-                least, leave, stop = last_moments(longest)
+                # SIGKILL may follow the initial or the current settings, so the shorter deadline counts.
+                longest_deadline = min(self.config.longest_deadline, self.running_config.longest_deadline)
+                earliest_end, close_delay, stop = last_moments(longest_deadline)
                 self.log("asked_to_end", owed=self.core.owed)
                 self.counters["terminations"] += 1
                 self.stop_at = self.loop.now() + stop
                 self.front.drain()
-                if self.succession.succeeded:
+                if self.succession.has_serving_successor:
                     self._retire()
-                # Guards the clients of a zone with one node: while it is gone, nobody serves them, so those
-                # that have a connection keep it as long as there is time.
-                self.loop.call_later(leave, self._leave)
-                self.loop.call_later(DRAIN_STEP if self.succession.succeeded else least, self._end_if_free)
+                # In a zone with a single node nobody else serves its clients while it restarts, so their
+                # connections stay open as long as time allows.
+                self.loop.call_later(close_delay, self._begin_closing_clients)
+                self.loop.call_later(
+                    DRAIN_POLL_INTERVAL if self.succession.has_serving_successor else earliest_end,
+                    self._stop_when_idle)
 
     def _reload(self) -> None:
-        """The file has been replaced: all that can change while running does, or, if it is bad, nothing."""
+        """Applies a changed configuration as far as a running node can. An invalid one changes nothing."""
         self.counters["reloads"] += 1
         try:
-            fresh = read_config(os.environ, self.config.edge_file, self.config, self.running)
-            routes = compile_routes(fresh)
-        except Exception as error:  # whatever a file may hold, the node goes on
+            updated = read_config(os.environ, self.config.edge_file, self.config, self.running_config)
+            routes = compile_routes(updated)
+        except Exception as error:  # no content of the file may end the node
             self.counters["reloads_refused"] += 1
             self.log("reload_refused", error=str(error))
             return
-        fixed = [key for key in self.config.changed(fresh) if key not in ("discovery", "settings", "known")]
+        fixed = [
+            key for key in self.config.changed_keys(updated) if key not in ("discovery", "settings", "known")]
         if fixed:
             self.log("reload_waits_for_restart", keys=", ".join(fixed))
-        if fresh.settings != self.running.settings:
+        if updated.settings != self.running_config.settings:
             self.counters["reloads_settings"] += 1
-            self.log("reload_settings", classes=", ".join(c.name for c in fresh.settings.classes),
-                     attempts=fresh.settings.attempt_cap)
-            self.core.change_settings(fresh.settings, fresh.most_sessions)
-        if fresh.edge is not None and self.running.edge is not None \
-                and fresh.edge.routes != self.running.edge.routes:
+            self.log("reload_settings", classes=", ".join(c.name for c in updated.settings.classes),
+                     attempts=updated.settings.attempt_cap)
+            self.core.change_settings(updated.settings, updated.max_sessions)
+        if updated.edge is not None and self.running_config.edge is not None \
+                and updated.edge.routes != self.running_config.edge.routes:
             self.counters["reloads_routes"] += 1
             self.core.routes = routes
-            self.log("reload_routes", rules=len(fresh.edge.routes.rules))
-        self._change_quotas(fresh)
-        self.running, self.idle = fresh, _idle_span(fresh.settings)
+            self.log("reload_routes", rules=len(updated.edge.routes.rules))
+        self._change_quotas(updated)
+        self.running_config, self.idle_timeout = updated, _idle_timeout(updated.settings)
         self.classes.clear()
-        self.classes.update({c.name: c for c in fresh.settings.classes})
-        self.loads.learn(fresh.meanings)
-        self.discovery.limit(self.idle, fresh.connect_limit)
-        if fresh.discovery is not None and fresh.discovery != self.discovery.address:
-            self.log("reload_discovery", address=f"{fresh.discovery[0]}:{fresh.discovery[1]}")
-            self.discovery.move(fresh.discovery)
+        self.classes.update({c.name: c for c in updated.settings.classes})
+        self.load_reader.learn(updated.load_report_fields)
+        self.discovery.limit(self.idle_timeout, updated.connect_timeout)
+        if updated.discovery is not None and updated.discovery != self.discovery.address:
+            self.log("reload_discovery", address=f"{updated.discovery[0]}:{updated.discovery[1]}")
+            self.discovery.move(updated.discovery)
         self.discovery.follow_pushed()
 
-    def _change_quotas(self, fresh: Config) -> None:
-        """Another tree of quotas: balances stay by path."""
-        tree = fresh.edge.quotas if fresh.edge is not None else None
+    def _change_quotas(self, updated: Config) -> None:
+        """Applies a changed quota tree; balances are kept by path."""
+        tree = updated.edge.quotas if updated.edge is not None else None
         if tree is None or self.core.quotas is None:
-            self._open_quotas(fresh)
+            self._open_quotas(updated)
         else:
-            self.core.quotas.change(tree, fresh.settings.fleet_size)
+            self.core.quotas.change(tree, updated.settings.fleet_size)
 
-    def _leave(self) -> None:
-        """From here on clients move away, and Faktory workers are told to be quiet when they beat."""
-        self.left_at = self.loop.now()
+    def _begin_closing_clients(self) -> None:
+        """Begins to close clients' connections and answers Faktory heartbeats with the quiet state."""
+        self.close_began_at = self.loop.now()
         self.front.leave()
         if self.faktory is not None and not self.front.retired:
             self.faktory.quieting = True
 
-    def _end_if_free(self) -> None:
-        """End once every client has had its answer and has gone, at the latest before SIGKILL."""
+    def _stop_when_idle(self) -> None:
+        """Ends once every request is answered and clients have left, at the latest before SIGKILL."""
         assert self.stop_at is not None
         now = self.loop.now()
-        # While a newcomer is about to serve, nobody else is there for new clients.
-        free = not self.core.owed and not self.succession.awaits and not self.front.busy(LAST_JOB)
-        free = free and not (self.faktory and self.faktory.producers_owed())
-        if free and not self.front.leaving:
-            self._leave()
-            self.loop.call_later(LAST_BEATS, self._end_if_free)
-        elif (free and now - self.left_at >= LAST_BEATS) or now >= self.stop_at:
-            # A moment more, so that workers which beat now learn of it, and so that a client whose request
-            # crossed the end of its connection finds a way in once more.
-            # Guards rule 1 at the very end: SIGKILL is near, so what is owed is answered now.
-            self.loop.spawn(self._finish(), "end")
+        # Until a starting successor serves, only this process can serve new clients.
+        is_idle = not self.core.owed and not self.succession.has_starting_successor \
+            and not self.front.busy(IDLE_FRONT_TIME)
+        is_idle = is_idle and not (self.faktory and self.faktory.producers_owed())
+        if is_idle and not self.front.leaving:
+            self._begin_closing_clients()
+            self.loop.call_later(QUIET_NOTICE, self._stop_when_idle)
+        elif (is_idle and now - self.close_began_at >= QUIET_NOTICE) or now >= self.stop_at:
+            # The delay lets heartbeats still receive the quiet state, and lets a client whose request
+            # crossed the close of its connection connect once more.
+            # Past `stop_at` SIGKILL is near: every open request must get its one answer now.
+            self.loop.spawn(self._answer_all_and_stop(), "end")
         else:
-            self.loop.call_later(DRAIN_STEP, self._end_if_free)
+            self.loop.call_later(DRAIN_POLL_INTERVAL, self._stop_when_idle)
 
-    def _finish(self) -> Steps[None]:
-        """Answer all that is owed, see the last bytes out, and stop.
+    def _answer_all_and_stop(self) -> Steps[None]:
+        """Answers all open requests, waits until the answers are written, and stops the loop.
 
-        Guards whoever comes in these last moments: a request that was read is denied, not left unanswered,
-        and nothing unread turns the close of its connection into a reset under an answer.
+        A request that is read during this time is refused rather than left unanswered. Unread bytes would
+        turn the close of a connection into a reset that destroys an answer on its way.
         """
-        until = self.loop.now() + LAST_WORDS
+        deadline = self.loop.now() + FINAL_WRITE_TIMEOUT
         self.front.finish()
         self.core.give_up_all()
         yield from self.loop.turn()
-        while self.loop.now() < until and (
+        while self.loop.now() < deadline and (
                 self.front.unsettled() or (self.faktory is not None and self.faktory.producers_owed())):
-            yield from self.loop.sleep(DRAIN_STEP / 4)
+            yield from self.loop.sleep(DRAIN_POLL_INTERVAL / 4)
         self.loop.stopping = True
 
     def _print_counters(self) -> None:
         self.log("counters", **dict(sorted(self.counters.items())))
 
 
-def last_moments(longest: timedelta) -> tuple[timedelta, timedelta, timedelta]:
-    """Counted from SIGTERM, for a longest deadline: the earliest end, when clients move away, the latest end.
+def last_moments(longest_deadline: timedelta) -> tuple[timedelta, timedelta, timedelta]:
+    """Returns the shutdown times, counted from SIGTERM: earliest end, begin of closing clients, latest end.
 
-    Guards against SIGKILL, which comes 0.7 s after that deadline, or after 3 s where it is longer.
+    The platform sends SIGKILL 0.7 s after the longest deadline, where a deadline over 3 s counts as 3 s.
     """
-    kill = min(longest, LONGEST_DRAIN) + SIGKILL_AFTER
-    stop = kill - LAST_CALL
-    return min(LEAST_DRAIN, stop), kill - LEAVE_BEFORE, stop
+    kill = min(longest_deadline, MAX_DRAIN_DEADLINE) + SIGKILL_DELAY
+    stop = kill - FINAL_ANSWER_LEAD
+    return min(MIN_DRAIN, stop), kill - CLIENT_CLOSE_LEAD, stop
 
 
 def compile_routes(config: Config) -> Router | None:
-    """The route table of a configuration; None, and no library loaded, where it has no rules."""
+    """Returns the configuration's route table; None, and no library is imported, if it has no rules."""
     if config.edge is None or not config.edge.routes.rules:
         return None
     from arrowfold.routes.table import RouteTable
@@ -417,17 +429,17 @@
 
 
 def open_gate(config: Config, now: timedelta) -> Gate | None:
-    """The quotas of a configuration; None, and nothing loaded, where it has none."""
+    """Returns the configuration's quota gate; None, and nothing is imported, if it has no quotas."""
     if config.edge is None or config.edge.quotas is None:
         return None
     from arrowfold.quotas.gate import Gate
 
-    means = {c.name: timedelta(microseconds=c.aim_us) for c in config.settings.classes}
-    return Gate(config.edge.quotas, config.settings.fleet_size, means, now)
+    initial_run_times = {c.name: timedelta(microseconds=c.aim_us) for c in config.settings.classes}
+    return Gate(config.edge.quotas, config.settings.fleet_size, initial_run_times, now)
 
 
 def open_store(config: Config, now: timedelta, counters: Counter[str]) -> Store | None:
-    """The store of request keys; None, and nothing loaded, where the document has no repeats."""
+    """Returns the store of request keys; None, and nothing is imported, if the document has no repeats."""
     if config.edge is None or config.edge.repeats is None:
         return None
     from arrowfold.repeats.store import Store
@@ -439,6 +451,6 @@
     return Log(config.name, config.edge.log if config.edge is not None else None)
 
 
-def _idle_span(settings: api.Settings) -> timedelta:
-    """A connection is closed here well before the far side would close it under a request."""
+def _idle_timeout(settings: api.Settings) -> timedelta:
+    """Returns the idle time after which a connection is closed, well before a worker would close it."""
     return timedelta(microseconds=settings.connection_idle_us or 30_000_000) * 0.8
--- a/arrowfold/program/succession.py
+++ b/arrowfold/program/succession.py
@@ -1,7 +1,8 @@
-"""Replacing the process: the newcomer gets the listening sockets and what operators have said.
+"""Replaces a node's process without downtime: a successor takes over the listening sockets and the state.
 
-Two processes of one node meet at a Unix socket in $TMPDIR. While both run, each tells the other of operators'
-calls and of its open sessions; the end of their connection says that the other has gone.
+The two processes connect over a Unix socket in $TMPDIR and exchange JSON lines. While both run, each forwards
+operators' commands, quota charges and changes of its open sessions to the other. The end of the connection
+means that the other process has ended.
 """
 
 from __future__ import annotations
@@ -24,120 +25,124 @@
 from arrowfold.transport.loop import Loop, Steps, Task
 from arrowfold.transport.stream import Address, Broken, Stream
 
-ANSWER_LIMIT = timedelta(seconds=1)  # a predecessor that says nothing for this long is left to itself
-CONFIRM_LIMIT = timedelta(milliseconds=700)  # an operator's answer is due within a second
-LONGEST_PATH = 100  # a Unix socket's path may hold 107 bytes
-MOST_LINKS = 4
-MOST_FDS = 8
-MOST_BACKLOG = 4 * 1024 * 1024
+HANDSHAKE_TIMEOUT = timedelta(seconds=1)  # a predecessor that does not answer in this time is ignored
+CONFIRM_TIMEOUT = timedelta(milliseconds=700)  # an operator's command must be answered within a second
+MAX_SOCKET_PATH_BYTES = 100  # the limit of the kernel is 107 bytes
+MAX_LINKS = 4
+MAX_DESCRIPTORS = 8
+MAX_BACKLOG_BYTES = 4 * 1024 * 1024
 Message = dict[str, Any]
 
 
-def place_of(name: str, listen: Address) -> Path:
-    """Where the processes of this node meet."""
-    mark = hashlib.sha256(f"{name} {listen[0]}:{listen[1]}".encode()).hexdigest()[:16]
-    return Path(tempfile.gettempdir()) / f"arrowfold-{mark}"
+def socket_path(name: str, listen: Address) -> Path:
+    """Returns the path of the Unix socket over which the processes of this node connect."""
+    digest = hashlib.sha256(f"{name} {listen[0]}:{listen[1]}".encode()).hexdigest()[:16]
+    return Path(tempfile.gettempdir()) / f"arrowfold-{digest}"
 
 
 @contextlib.contextmanager
-def _short(path: Path) -> Any:
-    """The path, or a shorter way to it where a Unix socket's address can't hold it."""
-    if len(os.fsencode(path)) <= LONGEST_PATH:
+def _short_path(path: Path) -> Any:
+    """Yields the path, or a shorter one through /proc where it exceeds the limit for Unix sockets."""
+    if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield str(path)
         return
-    folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
+    directory = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        yield f"/proc/self/fd/{folder}/{path.name}"
+        yield f"/proc/self/fd/{directory}/{path.name}"
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
-def _same_user(sock: socket.socket) -> bool:
-    """Guards against others on the machine, who may write to a shared folder for temporary files."""
-    row = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-    return bool(struct.unpack("3i", row)[1] == os.getuid())
+def _is_same_user(sock: socket.socket) -> bool:
+    """Checks the peer's user: a shared directory for temporary files is writable by other users."""
+    credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
+    return bool(struct.unpack("3i", credentials)[1] == os.getuid())
 
 
 @dataclass(slots=True)
-class Inheritance:
-    """What a newcomer got from its predecessor."""
+class Handover:
+    """What a successor received from its predecessor: connection, listening sockets and state."""
 
     sock: socket.socket
     listeners: dict[Address, socket.socket] = field(default_factory=dict)
     state: Message = field(default_factory=dict)
-    ahead: bytes = b""  # messages that came right behind
+    unread: bytes = b""  # bytes received behind the state message
 
     def listener(self, address: Address) -> socket.socket | None:
+        """Removes and returns the listening socket of an address; None if there is none."""
         return self.listeners.pop(address, None)
 
-    def close_rest(self) -> None:
-        """Guards a queue that nobody would accept from: what is not used here is not kept."""
+    def close_unused(self) -> None:
+        """Closes the listening sockets that were not taken, since nobody would accept from their backlog."""
         for sock in self.listeners.values():
             sock.close()
         self.listeners.clear()
 
 
-def inherit(place: Path) -> Inheritance | None:
-    """Ask a predecessor, if one runs and answers; what a dead one left behind refuses connections."""
+def request_handover(path: Path) -> Handover | None:
+    """Requests the handover from a running predecessor. Returns None if there is none or it does not answer.
+
+    The socket file of a predecessor that was killed refuses connections.
+    """
     try:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    except OSError:  # a platform that has no such sockets: nobody is there
+    except OSError:  # the platform has no Unix sockets, so there is no predecessor
         return None
-    got: list[int] = []
+    descriptors: list[int] = []
     try:
-        until = time.monotonic() + ANSWER_LIMIT.total_seconds()
-        sock.settimeout(ANSWER_LIMIT.total_seconds())
-        with _short(place) as path:
-            sock.connect(path)
-        if not _same_user(sock):
-            raise OSError("somebody else listens there")
+        deadline = time.monotonic() + HANDSHAKE_TIMEOUT.total_seconds()
+        sock.settimeout(HANDSHAKE_TIMEOUT.total_seconds())
+        with _short_path(path) as short_path:
+            sock.connect(short_path)
+        if not _is_same_user(sock):
+            raise OSError("the socket belongs to another user")
         sock.sendall(json.dumps({"successor": os.getpid()}).encode() + b"\n")
         data = b""
         while b"\n" not in data:
-            sock.settimeout(max(0.001, until - time.monotonic()))
-            part, fds, _, _ = socket.recv_fds(sock, 65536, MOST_FDS)
-            got += fds
+            sock.settimeout(max(0.001, deadline - time.monotonic()))
+            part, fds, _, _ = socket.recv_fds(sock, 65536, MAX_DESCRIPTORS)
+            descriptors += fds
             if not part:
-                raise OSError("it ended")
+                raise OSError("the predecessor closed the connection")
             data += part
-        line, _, ahead = data.partition(b"\n")
+        line, _, unread = data.partition(b"\n")
         state = json.loads(line)
         if not isinstance(state, dict):
-            raise ValueError("no object")
+            raise ValueError("the state is not a JSON object")
     except (OSError, ValueError):
         sock.close()
-        for fd in got:
+        for fd in descriptors:
             os.close(fd)
         return None
-    inheritance = Inheritance(sock, state=state, ahead=ahead)
-    for fd in got:
+    handover = Handover(sock, state=state, unread=unread)
+    for fd in descriptors:
         listener = socket.socket(fileno=fd)
         listener.setblocking(False)
         host, port = listener.getsockname()[:2]
-        inheritance.listeners[host, port] = listener
-    return inheritance
+        handover.listeners[host, port] = listener
+    return handover
 
 
 class Link:
-    """The connection to another process of this node; messages are lines of JSON."""
+    """The connection to another process of this node. Messages are JSON objects, one a line."""
 
     def __init__(
-            self, loop: Loop, sock: socket.socket, ahead: bytes, on_message: Callable[[Link, Message], None],
+            self, loop: Loop, sock: socket.socket, unread: bytes, on_message: Callable[[Link, Message], None],
             on_end: Callable[[Link], None],
     ) -> None:
         sock.setblocking(False)
         self.loop, self.on_message, self.on_end = loop, on_message, on_end
         self.stream = Stream(loop, sock, connected=True, urgent=True)
-        self.backlog, self.ahead = bytearray(), ahead
-        self.sessions: set[str] = set()  # what the other has open
-        self.is_successor = self.ready = self.told = False
-        self.confirmed: set[int] = set()
-        self.waiting: dict[int, Task] = {}
+        self.backlog, self.unread = bytearray(), unread
+        self.sessions: set[str] = set()  # ids of the requests that the other process has open
+        self.is_successor = self.is_serving = self.is_synced = False
+        self.confirmed_calls: set[int] = set()
+        self.waiting_tasks: dict[int, Task] = {}
         self.reader = loop.spawn(self._read(), "succession", urgent=True)
         self.writer = loop.spawn(self._write(), "succession", urgent=True)
 
     def send(self, message: Message, fds: tuple[int, ...] = ()) -> None:
-        """Say something; descriptors go along with the first byte."""
+        """Queues a message; file descriptors are passed along with its first byte."""
         data = json.dumps(message, separators=(",", ":")).encode() + b"\n"
         if fds:
             with contextlib.suppress(BlockingIOError):
@@ -146,10 +151,11 @@
         self.writer.wake()
 
     def close(self) -> None:
+        """Closes the connection and wakes the tasks that wait for a confirmation."""
         if not self.stream.closed:
             self.stream.close()
             self.on_end(self)
-            for task in self.waiting.values():
+            for task in self.waiting_tasks.values():
                 task.wake()
 
     def _write(self) -> Steps[None]:
@@ -158,8 +164,8 @@
                 if not self.backlog:
                     yield from self.loop.park()
                     continue
-                if len(self.backlog) > MOST_BACKLOG:
-                    break  # guards the memory against another process that hangs
+                if len(self.backlog) > MAX_BACKLOG_BYTES:
+                    break  # bounds the memory used when the other process hangs
                 data, self.backlog = bytes(self.backlog), bytearray()
                 yield from self.stream.write(data)
         except Broken:
@@ -167,7 +173,7 @@
         self.close()
 
     def _read(self) -> Steps[None]:
-        buffered = bytearray(self.ahead)
+        buffered = bytearray(self.unread)
         try:
             while True:
                 while (end := buffered.find(b"\n")) >= 0:
@@ -186,160 +192,167 @@
 
 
 class Succession:
-    """This process's links to others of the same node, and the place where the next one finds it."""
+    """Links to other processes of this node, and the published socket to which a successor connects."""
 
     def __init__(
-            self, loop: Loop, place: Path, describe: Callable[[], tuple[Message, tuple[int, ...]]],
-            obey: Callable[[str, str], None], on_change: Callable[[], None], log: Logging,
+            self, loop: Loop, path: Path, export_state: Callable[[], tuple[Message, tuple[int, ...]]],
+            apply_command: Callable[[str, str], None], on_change: Callable[[], None], log: Logging,
     ) -> None:
-        self.loop, self.place, self.describe, self.obey = loop, place, describe, obey
+        self.loop, self.path, self.export_state, self.apply_command = loop, path, export_state, apply_command
         self.on_change, self.log = on_change, log
         self.links: list[Link] = []
         self.sock: socket.socket | None = None
-        self.mark: tuple[int, int] | None = None  # device and inode of the socket's file
-        self.calls = 0
-        self.on_charge: Callable[[Any], None] = lambda row: None  # what the other has charged to quotas
+        self.socket_file_id: tuple[int, int] | None = None  # device and inode of the published socket file
+        self.call_count = 0
+        # Called with each quota charge of the other process.
+        self.on_charge: Callable[[Any], None] = lambda row: None
 
     @property
-    def succeeded(self) -> bool:
-        """Whether a newcomer serves already."""
-        return any(link.is_successor and link.ready for link in self.links)
+    def has_serving_successor(self) -> bool:
+        """Whether a successor is connected and serves."""
+        return any(link.is_successor and link.is_serving for link in self.links)
 
     @property
-    def awaits(self) -> bool:
-        """Whether a newcomer is about to serve."""
-        return any(link.is_successor and not link.ready for link in self.links)
+    def has_starting_successor(self) -> bool:
+        """Whether a successor is connected and does not serve yet."""
+        return any(link.is_successor and not link.is_serving for link in self.links)
 
-    def holds(self, job_id: str) -> bool:
-        """Whether another process of this node has this session open."""
+    def is_session_open(self, job_id: str) -> bool:
+        """Whether another process of this node has the request with this id open."""
         return any(job_id in link.sessions for link in self.links)
 
-    def meet(self, inheritance: Inheritance) -> None:
-        """Follow what the predecessor says from now on."""
-        link = self._link(inheritance.sock, inheritance.ahead)
-        link.sessions.update(map(str, inheritance.state.get("sessions") or ()))
-        link.told = True
+    def attach_predecessor(self, handover: Handover) -> None:
+        """Links to the predecessor and processes its messages from now on."""
+        link = self._add_link(handover.sock, handover.unread)
+        link.sessions.update(map(str, handover.state.get("sessions") or ()))
+        link.is_synced = True
         self.on_change()
 
     def publish(self) -> None:
-        """From now on the next process finds this one; told to predecessors, whose place this takes."""
+        """Publishes this process's socket in place of a predecessor's, and reports that this process serves.
+
+        A failure to publish is only logged.
+        """
         self.withdraw()
-        temporary = self.place.with_name(f"{self.place.name}.{os.getpid()}")
+        temporary = self.path.with_name(f"{self.path.name}.{os.getpid()}")
         sock: socket.socket | None = None
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             with contextlib.suppress(FileNotFoundError):
                 temporary.unlink()
-            before = os.umask(0o177)
+            previous_umask = os.umask(0o177)
             try:
-                with _short(temporary) as path:
-                    sock.bind(path)
+                with _short_path(temporary) as short_path:
+                    sock.bind(short_path)
             finally:
-                os.umask(before)
-            sock.listen(MOST_LINKS)
+                os.umask(previous_umask)
+            sock.listen(MAX_LINKS)
             status = temporary.stat()
-            temporary.replace(self.place)  # at once: there is no moment without a place
+            temporary.replace(self.path)  # atomic: the path always names a listening socket
         except OSError as error:
-            # Guards the service against a platform without such sockets or without a folder for one: a node
-            # that can't be replaced while it runs serves all the same.
+            # The platform may lack Unix sockets or a writable directory. The node serves without them, but
+            # cannot be replaced while it runs.
             if sock is not None:
                 sock.close()
             self.log("succession_no_place", error=str(error))
         else:
-            self.sock, self.mark = sock, (status.st_dev, status.st_ino)
+            self.sock, self.socket_file_id = sock, (status.st_dev, status.st_ino)
             self.loop.watch(sock.fileno(), self, urgent=True)
         for link in self.links:
             if not link.is_successor:
                 link.send({"ready": True})
 
     def withdraw(self) -> None:
-        """Leave the place, unless a newcomer has taken it."""
+        """Closes the published socket; removes its file unless a successor has replaced it."""
         if self.sock is None:
             return
         self.loop.unwatch(self.sock.fileno())
         self.sock.close()
         self.sock = None
-        if self.in_place():
+        if self.is_published():
             with contextlib.suppress(OSError):
-                self.place.unlink()
+                self.path.unlink()
 
-    def in_place(self) -> bool:
-        """Whether the next process would find this one."""
+    def is_published(self) -> bool:
+        """Whether the socket file is still the one of this process."""
         try:
-            status = self.place.stat()
+            status = self.path.stat()
         except OSError:
             return False
-        return (status.st_dev, status.st_ino) == self.mark
+        return (status.st_dev, status.st_ino) == self.socket_file_id
 
     def on_ready(self, mask: int) -> None:
+        """Accepts connections of successors."""
         del mask
         while self.sock is not None:
             try:
                 sock, _ = self.sock.accept()
             except OSError:
                 return
-            if len(self.links) >= MOST_LINKS or not _same_user(sock):
+            if len(self.links) >= MAX_LINKS or not _is_same_user(sock):
                 sock.close()
                 continue
-            self._link(sock, b"").is_successor = True
+            self._add_link(sock, b"").is_successor = True
 
-    def note_session(self, job_id: str, opened: bool) -> None:
+    def send_session_change(self, job_id: str, opened: bool) -> None:
+        """Reports a request that was opened or closed here to the other processes."""
         for link in self.links:
-            if link.told:
+            if link.is_synced:
                 link.send({"opened" if opened else "closed": job_id})
 
-    def note_charge(self, row: Any) -> None:
+    def send_charge(self, row: Any) -> None:
+        """Reports a quota charge to the other processes."""
         for link in self.links:
-            if link.told:
+            if link.is_synced:
                 link.send({"charged": row})
 
-    def tell(self, name: str, argument: str) -> Steps[bool]:
-        """Pass an operator's call on; whether everybody has confirmed it, or is gone."""
-        self.calls += 1
-        number, until = self.calls, self.loop.now() + CONFIRM_LIMIT
-        links = [link for link in self.links if link.told]
+    def forward_call(self, name: str, argument: str) -> Steps[bool]:
+        """Forwards an operator's command. Returns whether each other process confirmed it or has ended."""
+        self.call_count += 1
+        number, deadline = self.call_count, self.loop.now() + CONFIRM_TIMEOUT
+        links = [link for link in self.links if link.is_synced]
         task = self.loop.current
         assert task is not None
         for link in links:
-            link.waiting[number] = task
+            link.waiting_tasks[number] = task
             link.send({"call": name, "argument": argument, "number": number})
         try:
-            while any(number not in link.confirmed and not link.stream.closed for link in links):
-                if self.loop.now() >= until:
+            while any(number not in link.confirmed_calls and not link.stream.closed for link in links):
+                if self.loop.now() >= deadline:
                     return False
-                yield from self.loop.park(until)
+                yield from self.loop.park(deadline)
             return True
         finally:
             for link in links:
-                link.waiting.pop(number, None)
-                link.confirmed.discard(number)
+                link.waiting_tasks.pop(number, None)
+                link.confirmed_calls.discard(number)
 
-    def _link(self, sock: socket.socket, ahead: bytes) -> Link:
-        link = Link(self.loop, sock, ahead, self._heard, self._ended)
+    def _add_link(self, sock: socket.socket, unread: bytes) -> Link:
+        link = Link(self.loop, sock, unread, self._on_message, self._on_link_end)
         self.links.append(link)
         return link
 
-    def _heard(self, link: Link, message: Message) -> None:
-        if "successor" in message and not link.told:
-            state, fds = self.describe()
+    def _on_message(self, link: Link, message: Message) -> None:
+        if "successor" in message and not link.is_synced:
+            state, fds = self.export_state()
             link.send(state, fds)
-            link.told = True
+            link.is_synced = True
             self.log("succession_to_follow", process=message["successor"])
             self.on_change()
         elif "ready" in message:
-            link.ready = True
+            link.is_serving = True
             self.log("succession_newcomer_serves")
             self.on_change()
         elif "call" in message:
-            self.obey(str(message["call"]), str(message.get("argument") or ""))
+            self.apply_command(str(message["call"]), str(message.get("argument") or ""))
             link.send({"done": message.get("number")})
             for other in self.links:
-                if other is not link and other.told:
+                if other is not link and other.is_synced:
                     other.send({"call": message["call"], "argument": message.get("argument"), "number": 0})
         elif "done" in message:
-            if message["done"] in link.waiting:
-                link.confirmed.add(message["done"])
-                link.waiting[message["done"]].wake()
+            if message["done"] in link.waiting_tasks:
+                link.confirmed_calls.add(message["done"])
+                link.waiting_tasks[message["done"]].wake()
         elif "opened" in message:
             link.sessions.add(str(message["opened"]))
         elif "closed" in message:
@@ -347,7 +360,7 @@
         elif "charged" in message:
             self.on_charge(message["charged"])
 
-    def _ended(self, link: Link) -> None:
+    def _on_link_end(self, link: Link) -> None:
         if link in self.links:
             self.links.remove(link)
             self.log("succession_gone", who="newcomer" if link.is_successor else "predecessor")
