--- a/arrowfold/program/document.py
+++ b/arrowfold/program/document.py
@@ -1,6 +1,6 @@
-"""The deployment's document: KDL, read into checked values; every fault names the path of its node.
+"""Typed access to the deployment's KDL document. Every error names the path of the node at fault.
 
-A path is the nodes from the top, each with its name where it has one: `routes > rule "devices" > prefer`.
+A path lists the nodes from the top, each with its name if it has one: `routes > rule "devices" > prefer`.
 Times carry their unit as a type annotation: `(ms)250`, `(s)1.5`, `(min)5`.
 """
 
@@ -17,181 +17,192 @@
 from kdl.parsing import ParseConfig
 from kdl.types import Decimal, Node
 
-UNITS = {
+TIME_UNITS = {
     "us": timedelta(microseconds=1), "ms": timedelta(milliseconds=1), "s": timedelta(seconds=1),
     "min": timedelta(minutes=1), "h": timedelta(hours=1)}
-LONGEST = 1e9  # seconds; more is a slip
-MOST_BYTES = 4 * 1024 * 1024
-_AS_WRITTEN = ParseConfig(nativeUntaggedValues=True, nativeTaggedValues=False)
+MAX_DURATION_S = 1e9  # about 30 years; more is a mistake in the document
+MAX_DOCUMENT_BYTES = 4 * 1024 * 1024
+_PARSE_CONFIG = ParseConfig(nativeUntaggedValues=True, nativeTaggedValues=False)
 
 
 class DocumentError(ValueError):
-    """What is wrong, and the path of the node at fault."""
+    """An invalid document; the message names the file, the path of the node and the fault."""
 
 
-def read_document(path: Path) -> Place:
-    """The whole document. DocumentError where it can't be read, with line and column of a slip in KDL."""
+def read_document(path: Path) -> DocumentNode:
+    """Reads a document and returns its root node.
+
+    Raises DocumentError if the file cannot be read; for a KDL syntax error with line and column.
+    """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeError) as error:
         raise DocumentError(f"{path}: {error}") from error
-    if len(text) > MOST_BYTES:
-        raise DocumentError(f"{path}: over {MOST_BYTES} bytes")
+    if len(text) > MAX_DOCUMENT_BYTES:
+        raise DocumentError(f"{path}: over {MAX_DOCUMENT_BYTES} bytes")
     try:
-        document = parse(text, _AS_WRITTEN)
+        document = parse(text, _PARSE_CONFIG)
     except ParseError as error:
         raise DocumentError(f"{path}:{' '.join(str(error).split())}") from error
     except (RecursionError, OverflowError, ValueError) as error:
         raise DocumentError(f"{path}: {error}") from error
     root = Node(name="", nodes=document.nodes)
-    return Place(root, "", path)
+    return DocumentNode(root, "", path)
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """One node of the document, and where it stands."""
+class DocumentNode:
+    """One node of the document with its path and file. Accessors raise DocumentError on invalid values."""
 
-    node: Node
+    kdl_node: Node
     path: str
     file: Path
 
     @property
     def name(self) -> str:
-        return str(self.node.name)
+        return str(self.kdl_node.name)
 
     def fault(self, text: str) -> DocumentError:
+        """Returns an error that names this node."""
         return DocumentError(f"{self.file}: {self.path}: {text}" if self.path else f"{self.file}: {text}")
 
-    def check(
+    def validate(
             self, children: Collection[str] = (), props: Collection[str] = (), args: int | None = 0,
             repeated: Collection[str] = (),
     ) -> None:
-        """Hold the node to what may stand in it. `args` None allows any number."""
-        if self.node.tag is not None:
-            raise self.fault(f"({self.node.tag}) before a node means nothing here")
-        for place in self.children():
-            if place.name not in children and place.name not in repeated:
-                raise place.fault(f"unknown node; {_known([*children, *repeated])}")
-            if place.name not in repeated and len(list(self.children(place.name))) > 1:
-                raise place.fault("stands there twice")
-        for name in self.node.props:
+        """Checks the node's children, properties and number of values.
+
+        `children` may occur once and `repeated` any number of times. `args` None allows any number of values.
+        """
+        if self.kdl_node.tag is not None:
+            raise self.fault(f"({self.kdl_node.tag}) before a node means nothing here")
+        for node in self.children():
+            if node.name not in children and node.name not in repeated:
+                raise node.fault(f"unknown node; {_known_phrase([*children, *repeated])}")
+            if node.name not in repeated and len(list(self.children(node.name))) > 1:
+                raise node.fault("stands there twice")
+        for name in self.kdl_node.props:
             if name not in props:
-                raise self.fault(f"unknown property {name}; {_known(props)}")
-        if args is not None and len(self.node.args) != args:
-            raise self.fault(f"takes {_count(args)}, not {len(self.node.args)}")
-
-    def children(self, name: str | None = None) -> Iterator[Place]:
-        for node in self.node.nodes:
-            if name is None or node.name == name:
-                path = node.name
-                if node.args and isinstance(node.args[0], str) and node.name in NAMED:
-                    path = f'{node.name} "{node.args[0]}"'
-                yield Place(node, f"{self.path} > {path}" if self.path else path, self.file)
-
-    def child(self, name: str) -> Place | None:
+                raise self.fault(f"unknown property {name}; {_known_phrase(props)}")
+        if args is not None and len(self.kdl_node.args) != args:
+            raise self.fault(f"takes {_count_phrase(args)}, not {len(self.kdl_node.args)}")
+
+    def children(self, name: str | None = None) -> Iterator[DocumentNode]:
+        """Yields the child nodes, or those with the given node name."""
+        for kdl_node in self.kdl_node.nodes:
+            if name is None or kdl_node.name == name:
+                path = kdl_node.name
+                if kdl_node.args and isinstance(kdl_node.args[0], str) and kdl_node.name in NAMED_NODES:
+                    path = f'{kdl_node.name} "{kdl_node.args[0]}"'
+                yield DocumentNode(kdl_node, f"{self.path} > {path}" if self.path else path, self.file)
+
+    def child(self, name: str) -> DocumentNode | None:
         return next(self.children(name), None)
 
     # --- values ------------------------------------------------------------------------------------------
 
-    def texts(self, least: int = 1) -> tuple[str, ...]:
-        """All values of the node, each a text."""
-        if len(self.node.args) < least:
-            raise self.fault(f"takes {_count(least)} or more, not {len(self.node.args)}")
-        for value in self.node.args:
+    def texts(self, minimum: int = 1) -> tuple[str, ...]:
+        """Returns all values of the node, which must be distinct non-empty strings."""
+        if len(self.kdl_node.args) < minimum:
+            raise self.fault(f"takes {_count_phrase(minimum)} or more, not {len(self.kdl_node.args)}")
+        for value in self.kdl_node.args:
             self._text("a value", value)
-        if len(set(self.node.args)) != len(self.node.args):
+        if len(set(self.kdl_node.args)) != len(self.kdl_node.args):
             raise self.fault("names one thing twice")
-        return tuple(self.node.args)
+        return tuple(self.kdl_node.args)
 
-    def one(self) -> Any:
-        """The node's one value, as it is written."""
-        if len(self.node.args) != 1:
-            raise self.fault(f"takes {_count(1)}, not {len(self.node.args)}")
-        return self.node.args[0]
+    def single_value(self) -> Any:
+        """Returns the node's single value as parsed."""
+        if len(self.kdl_node.args) != 1:
+            raise self.fault(f"takes {_count_phrase(1)}, not {len(self.kdl_node.args)}")
+        return self.kdl_node.args[0]
 
     def text(self) -> str:
-        return self._text("its value", self.one())
+        return self._text("its value", self.single_value())
 
-    def flag(self) -> bool:
-        value = self.one()
+    def boolean(self) -> bool:
+        value = self.single_value()
         if not isinstance(value, bool):
-            raise self.fault(f"its value is to be true or false, not {_show(value)}")
+            raise self.fault(f"its value is to be true or false, not {_format_value(value)}")
         return value
 
-    def span(self) -> timedelta:
-        return self._span("its value", self.one())
+    def duration(self) -> timedelta:
+        return self._duration("its value", self.single_value())
 
-    def whole(self, least: int = 1) -> int:
-        return self._whole("its value", self.one(), least)
+    def integer(self, minimum: int = 1) -> int:
+        return self._integer("its value", self.single_value(), minimum)
 
-    def has(self, name: str) -> bool:
-        return name in self.node.props
+    def has_prop(self, name: str) -> bool:
+        return name in self.kdl_node.props
 
     def prop_text(self, name: str, default: str | None = None) -> str | None:
-        return self._text(name, self.node.props[name]) if self.has(name) else default
+        return self._text(name, self.kdl_node.props[name]) if self.has_prop(name) else default
 
     def prop_choice(self, name: str, choices: Collection[str], default: str | None = None) -> str:
         text = self.prop_text(name, default)
         if text is None:
             raise self.fault(f"{name} is missing")
         if text not in choices:
-            raise self.fault(f"{name} is {text!r}; {_known(choices)}")
+            raise self.fault(f"{name} is {text!r}; {_known_phrase(choices)}")
         return text
 
-    def prop_span(self, name: str, default: timedelta | None = None) -> timedelta | None:
-        return self._span(name, self.node.props[name]) if self.has(name) else default
+    def prop_duration(self, name: str, default: timedelta | None = None) -> timedelta | None:
+        return self._duration(name, self.kdl_node.props[name]) if self.has_prop(name) else default
 
-    def prop_whole(self, name: str, default: int, least: int = 1) -> int:
-        return self._whole(name, self.node.props[name], least) if self.has(name) else default
+    def prop_integer(self, name: str, default: int, minimum: int = 1) -> int:
+        return self._integer(name, self.kdl_node.props[name], minimum) if self.has_prop(name) else default
 
-    def prop_share(self, name: str, default: float) -> float:
-        value = self.node.props.get(name, default)
+    def prop_fraction(self, name: str, default: float) -> float:
+        value = self.kdl_node.props.get(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= 1:
-            raise self.fault(f"{name} is to be a number above 0 and at most 1, not {_show(value)}")
+            raise self.fault(f"{name} is to be a number above 0 and at most 1, not {_format_value(value)}")
         return float(value)
 
-    def number(self, least: float, most: float) -> float:
-        value = self.one()
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise self.fault(f"its value is to be a number from {least:g} to {most:g}, not {_show(value)}")
+    def number(self, minimum: float, maximum: float) -> float:
+        value = self.single_value()
+        if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+            raise self.fault(
+                f"its value is to be a number from {minimum:g} to {maximum:g}, not {_format_value(value)}")
         return float(value)
 
-    def prop_flag(self, name: str) -> bool | None:
-        value = self.node.props.get(name)
+    def prop_boolean(self, name: str) -> bool | None:
+        value = self.kdl_node.props.get(name)
         if value is not None and not isinstance(value, bool):
-            raise self.fault(f"{name} is to be true or false, not {_show(value)}")
+            raise self.fault(f"{name} is to be true or false, not {_format_value(value)}")
         return value
 
-    def _text(self, what: str, value: object) -> str:
+    def _text(self, label: str, value: object) -> str:
         if not isinstance(value, str) or not value:
-            raise self.fault(f"{what} is to be a text in quotes, not {_show(value)}")
+            raise self.fault(f"{label} is to be a text in quotes, not {_format_value(value)}")
         return value
 
-    def _whole(self, what: str, value: object, least: int) -> int:
-        whole = isinstance(value, int | float) and not isinstance(value, bool) and value == int(value)
-        if not whole or value < least:  # type: ignore[operator]
-            raise self.fault(f"{what} is to be a whole number of {least} or more, not {_show(value)}")
+    def _integer(self, label: str, value: object, minimum: int) -> int:
+        is_integer = isinstance(value, int | float) and not isinstance(value, bool) and value == int(value)
+        if not is_integer or value < minimum:  # type: ignore[operator]
+            raise self.fault(
+                f"{label} is to be a whole number of {minimum} or more, not {_format_value(value)}")
         return int(value)  # type: ignore[call-overload,no-any-return]
 
-    def _span(self, what: str, value: object) -> timedelta:
-        if not isinstance(value, Decimal) or value.tag not in UNITS:
+    def _duration(self, label: str, value: object) -> timedelta:
+        if not isinstance(value, Decimal) or value.tag not in TIME_UNITS:
             raise self.fault(
-                f"{what} is to be a time with its unit, such as (ms)250 or (s)1.5, not {_show(value)}")
-        if not 0 <= value.value < LONGEST:
-            raise self.fault(f"{what} is no time: {_show(value)}")
-        return float(value.value) * UNITS[value.tag]
+                f"{label} is to be a time with its unit, such as (ms)250 or (s)1.5, "
+                f"not {_format_value(value)}")
+        if not 0 <= value.value < MAX_DURATION_S:
+            raise self.fault(f"{label} is no time: {_format_value(value)}")
+        return float(value.value) * TIME_UNITS[value.tag]
 
 
-NAMED = ("region", "rule", "expect", "organisation", "team")  # nodes whose first value is their name
+NAMED_NODES = ("region", "rule", "expect", "organisation", "team")  # their first value is shown in paths
 
 
-def _count(number: int) -> str:
+def _count_phrase(number: int) -> str:
     return "no value" if not number else "one value" if number == 1 else f"{number} values"
 
 
-def _known(names: Collection[str]) -> str:
+def _known_phrase(names: Collection[str]) -> str:
     return f"known are: {', '.join(names)}" if names else "none is known here"
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     return repr(value) if isinstance(value, str | int | float | bool) or value is None else str(value)
--- a/arrowfold/program/edge_expectations.py
+++ b/arrowfold/program/edge_expectations.py
@@ -1,4 +1,4 @@
-"""What the document expects of routing: when an expectation applies, and its claim."""
+"""Reads the document's expectations of routing: when each applies, and its claim."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from arrowfold.expectations.claims import Claim, Target
 from arrowfold.expectations.history import ZERO, State
 from arrowfold.expectations.judgement import Expectation, When
-from arrowfold.program.document import Place
-from arrowfold.program.edge_routes import MATCHES, read_match, read_region
+from arrowfold.program.document import DocumentNode
+from arrowfold.program.edge_routes import MATCH_NODES, read_match, read_region
 
 STATES = tuple(state.value for state in State)
-OWN_STATES = ("in-service", "draining", "gone")
+SELF_REPORTED_STATES = ("in-service", "draining", "gone")
 CLAIMS = ("never-reaches", "only-reaches", "prefers", "goes-over", "at-most-attempts", "not-repeated",
           "repeated", "one-copy", "denied", "answered", "served", "at-most-at")
 EVENTS = ("arrival", "deadline", "start", "end")
@@ -21,138 +21,140 @@
 
 
 def read_expectations(
-        place: Place | None, regions: Mapping[str, frozenset[str]]) -> tuple[Expectation, ...]:
-    """The expectations in their order; none where the document has none."""
-    if place is None:
+        node: DocumentNode | None, regions: Mapping[str, frozenset[str]]) -> tuple[Expectation, ...]:
+    """Returns the expectations in document order; empty if `node` is None."""
+    if node is None:
         return ()
-    place.check(repeated=("expect",))
-    found: dict[str, Expectation] = {}
-    for row in place.children("expect"):
-        row.check(("when", *CLAIMS), args=1)
-        name, whens = row.text(), row.child("when")
-        if name in found:
-            raise row.fault("a second expectation of this name")
-        said = [child for child in row.children() if child.name in CLAIMS]
-        if len(said) != 1:
-            raise row.fault(f"needs one claim, not {len(said)}: {', '.join(CLAIMS)}")
-        when = _when(whens) if whens is not None else When()
-        found[name] = Expectation(name, row.path, when, _READERS[said[0].name](said[0], regions))
-    return tuple(found.values())
-
-
-def _when(place: Place) -> When:
-    place.check((*MATCHES, "server", "server-region", "list-lag"))
-    server, region, lag = (place.child(name) for name in ("server", "server-region", "list-lag"))
-    under = None
+    node.validate(repeated=("expect",))
+    expectations: dict[str, Expectation] = {}
+    for expect_node in node.children("expect"):
+        expect_node.validate(("when", *CLAIMS), args=1)
+        name, when_node = expect_node.text(), expect_node.child("when")
+        if name in expectations:
+            raise expect_node.fault("a second expectation of this name")
+        claim_nodes = [child for child in expect_node.children() if child.name in CLAIMS]
+        if len(claim_nodes) != 1:
+            raise expect_node.fault(f"needs one claim, not {len(claim_nodes)}: {', '.join(CLAIMS)}")
+        when = _read_when(when_node) if when_node is not None else When()
+        expectations[name] = Expectation(
+            name, expect_node.path, when, _CLAIM_READERS[claim_nodes[0].name](claim_nodes[0], regions))
+    return tuple(expectations.values())
+
+
+def _read_when(node: DocumentNode) -> When:
+    node.validate((*MATCH_NODES, "server", "server-region", "list-lag"))
+    server, region, lag = (node.child(name) for name in ("server", "server-region", "list-lag"))
+    max_lag = None
     if lag is not None:
-        lag.check(props=("under",))
-        under = lag.prop_span("under")
-        if not under:
+        lag.validate(props=("under",))
+        max_lag = lag.prop_duration("under")
+        if not max_lag:
             raise lag.fault("under is missing, or no time above 0")
-    return When(read_match(place), _states(server), _states(region), under)
+    return When(read_match(node), _read_states(server), _read_states(region), max_lag)
 
 
-def _states(place: Place | None) -> frozenset[State]:
-    if place is None:
+def _read_states(node: DocumentNode | None) -> frozenset[State]:
+    if node is None:
         return frozenset()
-    place.check(args=None)
-    for text in place.texts():
+    node.validate(args=None)
+    for text in node.texts():
         if text not in STATES:
-            raise place.fault(f"unknown state {text!r}; known are: {', '.join(STATES)}")
-    return frozenset(State(text) for text in place.texts())
+            raise node.fault(f"unknown state {text!r}; known are: {', '.join(STATES)}")
+    return frozenset(State(text) for text in node.texts())
 
 
-def _target(place: Place, regions: Mapping[str, frozenset[str]]) -> Target:
-    state, region = place.prop_text("state"), place.prop_text("region")
-    if state is None and region is None and not place.has("kind"):
-        raise place.fault("names no server: give a state, a region or a kind")
+def _read_target(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Target:
+    state, region = node.prop_text("state"), node.prop_text("region")
+    if state is None and region is None and not node.has_prop("kind"):
+        raise node.fault("names no server: give a state, a region or a kind")
     if state is not None:
-        place.prop_choice("state", STATES)
+        node.prop_choice("state", STATES)
     if region is not None:
-        read_region(place, region, regions)
-    own = place.prop_choice("from", ("told", "own"), "told") == "own"
-    if own and state not in OWN_STATES:
-        raise place.fault(f"from=\"own\" goes with state {', '.join(OWN_STATES)}")
-    after = place.prop_span("after", ZERO)
+        read_region(node, region, regions)
+    is_self_reported = node.prop_choice("from", ("told", "own"), "told") == "own"
+    if is_self_reported and state not in SELF_REPORTED_STATES:
+        raise node.fault(f"from=\"own\" goes with state {', '.join(SELF_REPORTED_STATES)}")
+    after = node.prop_duration("after", ZERO)
     if state is None and after:
-        raise place.fault("after goes with a state")
+        raise node.fault("after goes with a state")
     assert after is not None
-    return Target(State(state) if state is not None else None, region, place.prop_text("kind"), after, own)
+    return Target(
+        State(state) if state is not None else None, region, node.prop_text("kind"), after, is_self_reported)
 
 
-def _reaches(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(props=("state", "region", "kind", "after", "from"))
-    return claims.Reaches(_target(place, regions), place.name == "never-reaches")
+def _read_reaches(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(props=("state", "region", "kind", "after", "from"))
+    return claims.Reaches(_read_target(node, regions), node.name == "never-reaches")
 
 
-def _prefers(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(props=("share",), args=None)
-    order = tuple(read_region(place, name, regions) for name in place.texts())
-    return claims.Prefers(order, place.prop_share("share", 1.0))
+def _read_prefers(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(props=("share",), args=None)
+    order = tuple(read_region(node, name, regions) for name in node.texts())
+    return claims.Prefers(order, node.prop_fraction("share", 1.0))
 
 
-def _goes_over(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(props=("from", "only-when", "share"))
-    region = place.prop_text("from")
+def _read_goes_over(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(props=("from", "only-when", "share"))
+    region = node.prop_text("from")
     if region is None:
-        raise place.fault("from is missing")
-    state = State(place.prop_choice("only-when", STATES))
-    return claims.GoesOver(read_region(place, region, regions), state, place.prop_share("share", 1.0))
+        raise node.fault("from is missing")
+    state = State(node.prop_choice("only-when", STATES))
+    return claims.GoesOver(read_region(node, region, regions), state, node.prop_fraction("share", 1.0))
 
 
-def _attempts(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(args=1)
-    return claims.AtMostAttempts(place.whole())
+def _read_attempts(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(args=1)
+    return claims.AtMostAttempts(node.integer())
 
 
-def _not_repeated(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check()
+def _read_not_repeated(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate()
     return claims.NotRepeated()
 
 
-def _repeated(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(props=("within", "of"))
-    within = place.prop_span("within", timedelta(seconds=1))
+def _read_repeated(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(props=("within", "of"))
+    within = node.prop_duration("within", timedelta(seconds=1))
     assert within is not None
-    return claims.Repeated(within, place.prop_choice("of", ("end", "silence"), "end") == "silence")
+    return claims.Repeated(within, node.prop_choice("of", ("end", "silence"), "end") == "silence")
 
 
-def _one_copy(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check()
+def _read_one_copy(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate()
     return claims.OneCopy()
 
 
-def _denied(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(props=("advice", "at-least", "at-most"))
+def _read_denied(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(props=("advice", "at-least", "at-most"))
     return claims.Denied(
-        place.prop_flag("advice"), place.prop_span("at-least"), place.prop_span("at-most"))
+        node.prop_boolean("advice"), node.prop_duration("at-least"), node.prop_duration("at-most"))
 
 
-def _answered(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(props=("within", "of", "verdict"))
-    within = place.prop_span("within")
+def _read_answered(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(props=("within", "of", "verdict"))
+    within = node.prop_duration("within")
     if within is None:
-        raise place.fault("within is missing")
-    verdict = place.prop_choice("verdict", VERDICTS) if place.has("verdict") else None
-    return claims.Answered(within, place.prop_choice("of", EVENTS, "arrival"), verdict)
+        raise node.fault("within is missing")
+    verdict = node.prop_choice("verdict", VERDICTS) if node.has_prop("verdict") else None
+    return claims.Answered(within, node.prop_choice("of", EVENTS, "arrival"), verdict)
 
 
-def _served(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(props=("region",))
-    region = place.prop_text("region")
-    return claims.Served(read_region(place, region, regions) if region is not None else None)
+def _read_served(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(props=("region",))
+    region = node.prop_text("region")
+    return claims.Served(read_region(node, region, regions) if region is not None else None)
 
 
-def _at_most_at(place: Place, regions: Mapping[str, frozenset[str]]) -> Claim:
-    place.check(props=("state", "region", "kind", "after", "from", "per"), args=1)
-    per = place.prop_span("per")
+def _read_at_most_at(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Claim:
+    node.validate(props=("state", "region", "kind", "after", "from", "per"), args=1)
+    per = node.prop_duration("per")
     if not per:
-        raise place.fault("per is missing, or no time above 0")
-    return claims.AtMostAt(place.whole(), per, _target(place, regions))
+        raise node.fault("per is missing, or no time above 0")
+    return claims.AtMostAt(node.integer(), per, _read_target(node, regions))
 
 
-_READERS: dict[str, Callable[[Place, Mapping[str, frozenset[str]]], Claim]] = {
-    "never-reaches": _reaches, "only-reaches": _reaches, "prefers": _prefers,
-    "goes-over": _goes_over, "at-most-attempts": _attempts, "not-repeated": _not_repeated,
-    "repeated": _repeated, "one-copy": _one_copy, "denied": _denied, "answered": _answered, "served": _served,
-    "at-most-at": _at_most_at}
+_CLAIM_READERS: dict[str, Callable[[DocumentNode, Mapping[str, frozenset[str]]], Claim]] = {
+    "never-reaches": _read_reaches, "only-reaches": _read_reaches, "prefers": _read_prefers,
+    "goes-over": _read_goes_over, "at-most-attempts": _read_attempts, "not-repeated": _read_not_repeated,
+    "repeated": _read_repeated, "one-copy": _read_one_copy, "denied": _read_denied,
+    "answered": _read_answered, "served": _read_served, "at-most-at": _read_at_most_at}
--- a/arrowfold/program/edge_routes.py
+++ b/arrowfold/program/edge_routes.py
@@ -1,42 +1,42 @@
-"""The document's routes: rules, what they match, what they do with a job."""
+"""Reads the document's routes: rules with what they match and their action on a request."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
 from arrowfold.networks import read_network
-from arrowfold.program.document import Place
+from arrowfold.program.document import DocumentNode
 from arrowfold.routes.rules import Action, Match, Rule
 
-MATCHES = ("class", "region", "key", "key-prefix", "tenant", "network", "retry")
-ACTIONS = ("prefer", "only", "kinds", "deny")
-MOST_PREFERRED = 16
+MATCH_NODES = ("class", "region", "key", "key-prefix", "tenant", "network", "retry")
+ACTION_NODES = ("prefer", "only", "kinds", "deny")
+MAX_PREFERRED_REGIONS = 16
 
 
-def read_rules(place: Place | None, regions: Mapping[str, frozenset[str]]) -> tuple[Rule, ...]:
-    """The rules in their order; none where the document has no routes."""
-    if place is None:
+def read_rules(node: DocumentNode | None, regions: Mapping[str, frozenset[str]]) -> tuple[Rule, ...]:
+    """Returns the rules in document order; empty if `node` is None."""
+    if node is None:
         return ()
-    place.check(repeated=("rule",))
+    node.validate(repeated=("rule",))
     rules: dict[str, Rule] = {}
-    for row in place.children("rule"):
-        row.check((*MATCHES, *ACTIONS), args=1)
-        name = row.text()
+    for rule_node in node.children("rule"):
+        rule_node.validate((*MATCH_NODES, *ACTION_NODES), args=1)
+        name = rule_node.text()
         if name in rules:
-            raise row.fault("a second rule of this name")
-        actions = [child for child in row.children() if child.name in ACTIONS]
+            raise rule_node.fault("a second rule of this name")
+        actions = [child for child in rule_node.children() if child.name in ACTION_NODES]
         if len(actions) != 1:
-            raise row.fault(f"needs one action, not {len(actions)}: {', '.join(ACTIONS)}")
-        rules[name] = Rule(name, read_match(row), _action(actions[0], regions))
+            raise rule_node.fault(f"needs one action, not {len(actions)}: {', '.join(ACTION_NODES)}")
+        rules[name] = Rule(name, read_match(rule_node), _read_action(actions[0], regions))
     return tuple(rules.values())
 
 
-def read_match(place: Place) -> Match:
-    """The parts that choose sessions; what else stands in the node is its owner's."""
+def read_match(node: DocumentNode) -> Match:
+    """Reads the child nodes that select requests; the caller reads the others."""
     values: dict[str, frozenset[str]] = {}
-    for child in place.children():
-        if child.name in MATCHES and child.name != "retry":
-            child.check(args=None)
+    for child in node.children():
+        if child.name in MATCH_NODES and child.name != "retry":
+            child.validate(args=None)
             values[child.name] = frozenset(child.texts())
             if child.name == "network":
                 for text in child.texts():
@@ -44,32 +44,32 @@
                         read_network(text)
                     except ValueError as error:
                         raise child.fault(str(error)) from error
-    retry = place.child("retry")
-    none = frozenset[str]()
+    retry = node.child("retry")
+    empty = frozenset[str]()
     return Match(
-        values.get("class", none), values.get("region", none), values.get("key", none),
-        values.get("key-prefix", none), values.get("tenant", none), values.get("network", none),
-        retry.flag() if retry is not None else None)
+        values.get("class", empty), values.get("region", empty), values.get("key", empty),
+        values.get("key-prefix", empty), values.get("tenant", empty), values.get("network", empty),
+        retry.boolean() if retry is not None else None)
 
 
-def _action(place: Place, regions: Mapping[str, frozenset[str]]) -> Action:
-    if place.name == "deny":
-        place.check(props=("retry-after",))
-        return Action(deny=True, retry_after=place.prop_span("retry-after"))
-    place.check(args=None)
-    names = place.texts()
-    if place.name == "kinds":
+def _read_action(node: DocumentNode, regions: Mapping[str, frozenset[str]]) -> Action:
+    if node.name == "deny":
+        node.validate(props=("retry-after",))
+        return Action(deny=True, retry_after=node.prop_duration("retry-after"))
+    node.validate(args=None)
+    names = node.texts()
+    if node.name == "kinds":
         return Action(kinds=frozenset(names))
     for name in names:
-        read_region(place, name, regions)
-    if len(names) > MOST_PREFERRED:  # each is a step that the module takes within one call
-        raise place.fault(f"names more than {MOST_PREFERRED} regions")
-    return Action(prefer=names) if place.name == "prefer" else Action(only=names)
+        read_region(node, name, regions)
+    if len(names) > MAX_PREFERRED_REGIONS:  # routing tries each preferred region within one call
+        raise node.fault(f"names more than {MAX_PREFERRED_REGIONS} regions")
+    return Action(prefer=names) if node.name == "prefer" else Action(only=names)
 
 
-def read_region(place: Place, name: str, regions: Mapping[str, frozenset[str]]) -> str:
-    """A region's name, which must be known."""
+def read_region(node: DocumentNode, name: str, regions: Mapping[str, frozenset[str]]) -> str:
+    """Returns the region's name; raises DocumentError if no such region is declared."""
     if name not in regions:
         known = ", ".join(sorted(regions)) or "none"
-        raise place.fault(f"unknown region {name!r}; known are: {known}")
+        raise node.fault(f"unknown region {name!r}; known are: {known}")
     return name
--- a/arrowfold/program/log.py
+++ b/arrowfold/program/log.py
@@ -1,8 +1,8 @@
-"""The log: events with fields on standard error, at most so many a second of each event.
+"""The log: events with fields on standard error, with a rate limit for each event name.
 
-Where a deployment's document is read, structlog renders them: as key=value, or as JSON lines where the
-document asks. A node of the platform's loads no such library (it would add 5 MB to 21 and 29 ms to 49): there
-one plain form stands in, with the same events and fields.
+With a deployment's document, structlog renders the events as key=value pairs or, if the document says so, as
+JSON lines. Without one structlog is not imported, because it would add 5 MB of memory to 21 MB and 29 ms of
+start time to 49 ms; a plain writer prints the same events and fields.
 """
 
 from __future__ import annotations
@@ -12,46 +12,46 @@
 import time
 from collections.abc import Callable
 
-LINES_A_SECOND = 20  # of one event; others have their own
-FORMS = ("key-value", "json")
+MAX_LINES_PER_SECOND = 20  # of one event name; each name has its own limit
+FORMATS = ("key-value", "json")
 Fields = dict[str, object]
 
 
 class Log:
-    """Says events. What comes too fast is counted, and said once the second is over."""
+    """Writes events. Lines over the rate limit are counted, and their number is logged a second later."""
 
-    def __init__(self, name: str, form: str | None = None) -> None:
+    def __init__(self, name: str, log_format: str | None = None) -> None:
         self.name, self.second = name, 0
-        self.printed: dict[str, int] = {}
-        self._write = _plain if form is None else _structured(form)
+        self.line_counts: dict[str, int] = {}
+        self._write = _write_plain if log_format is None else _structlog_writer(log_format)
 
     def __call__(self, event: str, **fields: object) -> None:
         second = int(time.monotonic())
         if second != self.second:
-            last, self.second, self.printed = self.printed, second, {}
+            last, self.second, self.line_counts = self.line_counts, second, {}
             for name, count in last.items():
-                if count > LINES_A_SECOND:
-                    self._print("left_out", {"of": name, "lines": count - LINES_A_SECOND})
-        count = self.printed[event] = self.printed.get(event, 0) + 1
-        if count <= LINES_A_SECOND:
+                if count > MAX_LINES_PER_SECOND:
+                    self._print("left_out", {"of": name, "lines": count - MAX_LINES_PER_SECOND})
+        count = self.line_counts[event] = self.line_counts.get(event, 0) + 1
+        if count <= MAX_LINES_PER_SECOND:
             self._print(event, fields)
 
     def _print(self, event: str, fields: Fields) -> None:
-        with contextlib.suppress(OSError):  # nobody reads the log: no reason to end
+        with contextlib.suppress(OSError):  # a closed log must not end the node
             self._write(event, {"node": self.name, **fields})
 
 
-def _plain(event: str, fields: Fields) -> None:
-    words = (f"{key}={value!r}" for key, value in {"event": event, **fields}.items())
-    print(" ".join(words), file=sys.stderr, flush=True)
+def _write_plain(event: str, fields: Fields) -> None:
+    pairs = (f"{key}={value!r}" for key, value in {"event": event, **fields}.items())
+    print(" ".join(pairs), file=sys.stderr, flush=True)
 
 
-def _structured(form: str) -> Callable[[str, Fields], None]:
-    """The one configuration of structlog."""
+def _structlog_writer(log_format: str) -> Callable[[str, Fields], None]:
+    """Configures structlog and returns a writer for the given format."""
     import structlog
 
     renderer: structlog.typing.Processor = structlog.processors.JSONRenderer(default=str)
-    if form != "json":
+    if log_format != "json":
         renderer = structlog.processors.KeyValueRenderer(key_order=["event", "node"])
     logger = structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr), wrapper_class=structlog.BoundLogger, context_class=dict,
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -9,7 +9,7 @@
 from unittest.mock import patch
 
 from arrowfold.program import log as module
-from arrowfold.program.log import LINES_A_SECOND, Log
+from arrowfold.program.log import MAX_LINES_PER_SECOND, Log
 from tests.edge import EdgeCase
 
 
@@ -32,16 +32,17 @@
 
     def test_one_loud_event_hides_no_other(self) -> None:
         lines = self.said(None)
-        self.assertEqual(sum("event='loud'" in line for line in lines), LINES_A_SECOND)
-        self.assertEqual(lines[LINES_A_SECOND], "event='rare' node='n1' text='two words' count=3")
+        self.assertEqual(sum("event='loud'" in line for line in lines), MAX_LINES_PER_SECOND)
+        self.assertEqual(lines[MAX_LINES_PER_SECOND], "event='rare' node='n1' text='two words' count=3")
         self.assertEqual(lines[-2:], [
             "event='left_out' node='n1' of='loud' lines=480", "event='rare' node='n1'"])
 
     def test_the_librarys_forms_say_the_same(self) -> None:
         plain = self.said("key-value")
-        self.assertEqual(len(plain), LINES_A_SECOND + 3)
-        self.assertIn("event='rare' node='n1' text='two words' count=3 timestamp=", plain[LINES_A_SECOND])
-        row = json.loads(self.said("json")[LINES_A_SECOND])
+        self.assertEqual(len(plain), MAX_LINES_PER_SECOND + 3)
+        self.assertIn(
+            "event='rare' node='n1' text='two words' count=3 timestamp=", plain[MAX_LINES_PER_SECOND])
+        row = json.loads(self.said("json")[MAX_LINES_PER_SECOND])
         row.pop("timestamp")
         self.assertEqual(row, {"event": "rare", "node": "n1", "text": "two words", "count": 3})
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -93,7 +93,7 @@
         self.assertEqual(self.counters["trace_dropped"], 160)
         self.assertEqual(self.path.read_bytes(), b"")  # nothing is written while jobs are led
         self.loop.calls.pop()()
-        self.assertEqual(len(self.path.read_text().splitlines()), module.BATCH)
+        self.assertEqual(len(self.path.read_text().splitlines()), module.SPANS_PER_WRITE)
         self.assertEqual(len(self.loop.calls), 1)  # and the next turn goes on
         trace.close()
         _, dropped = read_history(self.path)
