--- a/arrowfold/program/commands.py
+++ b/arrowfold/program/commands.py
@@ -1,6 +1,6 @@
 """The command line: `run`, `check`, `judge`, `quotas`, `try`, `standins`.
 
-The platform names no command and loads none of this.
+The platform starts a node without a command, so this module is not imported there.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
     from arrowfold.expectations.worlds import Plan
     from arrowfold.program.edge import EdgeDocument
 
-FAULTY = 2
-BROKEN = 1
-_FILE = click.Path(path_type=Path, dir_okay=False)
+EXIT_FAULT = 2
+EXIT_FAILED = 1
+_FILE_PATH = click.Path(path_type=Path, dir_okay=False)
 
 
-class Fault(click.ClickException):
-    """Something handed in is at fault: one line, and exit code 2."""
+class InputFault(click.ClickException):
+    """An invalid argument or input file: reported in one line, with exit code 2."""
 
-    exit_code = FAULTY
+    exit_code = EXIT_FAULT
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]}, no_args_is_help=False)
@@ -42,7 +42,7 @@
 
 
 @cli.command()
-@click.argument("edge_file", required=False, type=_FILE)
+@click.argument("edge_file", required=False, type=_FILE_PATH)
 @click.pass_obj
 def run(signals: Signals | None, edge_file: Path | None) -> None:
     """Run a node.
@@ -54,13 +54,13 @@
     from arrowfold.program.start import run_node
 
     if edge_file is not None and edge_file.suffix == ".toml":
-        _read(edge_file)  # says which form the file has now
+        _read_document(edge_file)  # fails with a message that names the current format
     raise click.exceptions.Exit(run_node(edge_file, signals or Signals()))
 
 
 @cli.command()
-@click.argument("edge_file", type=_FILE)
-@click.option("--settings", type=_FILE, metavar="JSON",
+@click.argument("edge_file", type=_FILE_PATH)
+@click.option("--settings", type=_FILE_PATH, metavar="JSON",
               help="The platform's configuration or its settings; else what the document's check names.")
 @click.option("--seed", default=1, show_default=True,
               help="For the module's chance; the same seed, the same output.")
@@ -79,28 +79,28 @@
     from arrowfold.expectations.check import Check
     from arrowfold.expectations.worlds import TokenError, World
 
-    document = _read(edge_file)
+    document = _read_document(edge_file)
     plan = _plan(document, settings)
     for name in only:
         if all(name != e.name for e in document.expectations):
-            raise Fault(f"--only: no expectation is named {name!r}")
+            raise InputFault(f"--only: no expectation is named {name!r}")
     checking = Check(plan, document.expectations, seed)
     if replay is not None:
         try:
             world = World.from_token(replay)
         except TokenError as error:
-            raise Fault(f"--replay: {error}") from error
+            raise InputFault(f"--replay: {error}") from error
         for line in checking.replay(world):
             click.echo(line)
         return
     reports = checking.run(only=only)
-    _print(reports, as_json, {"worlds": checking.played, "seed": seed})
+    _print_reports(reports, as_json, {"worlds": checking.played, "seed": seed})
 
 
 @cli.command()
-@click.argument("edge_file", type=_FILE)
-@click.argument("trace", type=_FILE)
-@click.option("--fleet", type=_FILE, metavar="JSONL",
+@click.argument("edge_file", type=_FILE_PATH)
+@click.argument("trace", type=_FILE_PATH)
+@click.option("--fleet", type=_FILE_PATH, metavar="JSONL",
               help="What the servers did themselves: lines with at, server and state.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON object instead of lines.")
 def judge(edge_file: Path, trace: Path, fleet: Path | None, as_json: bool) -> None:
@@ -113,11 +113,11 @@
     from arrowfold.expectations.reports import Report
     from arrowfold.program.judging import TraceError, read_history
 
-    document = _read(edge_file)
+    document = _read_document(edge_file)
     try:
-        history, dropped = read_history(trace, fleet)
+        history, dropped_spans = read_history(trace, fleet)
     except TraceError as error:
-        raise Fault(str(error)) from error
+        raise InputFault(str(error)) from error
     tallies = judge_all(history, document.expectations, document.routes.regions)
     reports = []
     for expectation, tally in zip(document.expectations, tallies, strict=True):
@@ -129,14 +129,14 @@
         if report.verdict == "fails":
             report.broke = tally.bad[0].text
         reports.append(report)
-    _print(reports, as_json, {"sessions": len(history.lives), "spans_dropped": dropped})
+    _print_reports(reports, as_json, {"sessions": len(history.lives), "spans_dropped": dropped_spans})
 
 
 @cli.command()
-@click.argument("edge_file", type=_FILE)
-@click.option("--settings", type=_FILE, metavar="JSON",
+@click.argument("edge_file", type=_FILE_PATH)
+@click.option("--settings", type=_FILE_PATH, metavar="JSON",
               help="The platform's configuration or its settings; else what the document's check names.")
-@click.option("--replay", type=_FILE, metavar="JSONL",
+@click.option("--replay", type=_FILE_PATH, metavar="JSONL",
               help="Timed arrivals: lines with at (seconds), tenant, class, and run (seconds), slots, key.")
 def quotas(edge_file: Path, settings: Path | None, replay: Path | None) -> None:
     """Show EDGE_FILE's quotas as a node of several has them, and what in them can't be kept.
@@ -144,25 +144,25 @@
     With --replay, arrivals in virtual time: who is let in, denied and until when. Exit code 1 if the quotas
     contradict each other.
     """
-    from arrowfold.program.quota_commands import contradicting, replayed, shown
+    from arrowfold.program.quota_commands import find_contradictions, format_tree, replay_arrivals
 
-    document = _read(edge_file)
+    document = _read_document(edge_file)
     if document.quotas is None:
-        raise Fault(f"configuration: {edge_file}: quotas is missing")
-    conf = _plan(document, settings).settings
+        raise InputFault(f"configuration: {edge_file}: quotas is missing")
+    platform_settings = _plan(document, settings).settings
     if replay is not None:
         try:
-            for line in replayed(document.quotas, conf, replay):
+            for line in replay_arrivals(document.quotas, platform_settings, replay):
                 click.echo(line)
         except ValueError as error:
-            raise Fault(str(error)) from error
+            raise InputFault(str(error)) from error
         return
-    for line in shown(document.quotas, conf):
+    for line in format_tree(document.quotas, platform_settings):
         click.echo(line)
-    faults = list(contradicting(document.quotas, conf))
-    for line in faults:
+    contradictions = list(find_contradictions(document.quotas, platform_settings))
+    for line in contradictions:
         click.echo(f"contradiction: {line}")
-    raise click.exceptions.Exit(BROKEN if faults else 0)
+    raise click.exceptions.Exit(EXIT_FAILED if contradictions else 0)
 
 
 @cli.command(name="try")
@@ -179,7 +179,7 @@
 
 
 @cli.command()
-@click.argument("config", type=_FILE)
+@click.argument("config", type=_FILE_PATH)
 @click.option("--workers", default=4, show_default=True, type=click.IntRange(1, 100),
               help="How many stand-in search workers.")
 def standins(config: Path, workers: int) -> None:
@@ -193,37 +193,37 @@
     try:
         stand_ins = StandIns(config, workers)
     except (OSError, ValueError) as error:
-        raise Fault(f"standins: {config}: {error}") from error
-    click.echo(stand_ins.how_to(), err=True)
-    stand_ins.stay()
+        raise InputFault(f"standins: {config}: {error}") from error
+    click.echo(stand_ins.usage_hint(), err=True)
+    stand_ins.serve()
 
 
 def main(arguments: list[str], signals: Signals | None = None) -> int:
-    """Obey a command line; a fault is one line on standard error, and exit code 2."""
+    """Runs a command line and returns the exit code; an invalid input is one line on stderr and code 2."""
     if arguments and arguments[0].endswith(".toml"):
-        arguments = ["run", *arguments]  # as nodes were started before there were commands
+        arguments = ["run", *arguments]  # nodes were started this way before there were commands
     try:
         code = cli.main(arguments, prog_name="arrowfold", standalone_mode=False, obj=signals)
     except click.ClickException as error:
         print(f"arrowfold: {' '.join(error.format_message().split())}", file=sys.stderr)
-        return FAULTY
+        return EXIT_FAULT
     except click.Abort:
         return 130
     return code if isinstance(code, int) else 0
 
 
-def _read(path: Path) -> EdgeDocument:
+def _read_document(path: Path) -> EdgeDocument:
     from arrowfold.program.document import DocumentError
     from arrowfold.program.edge import read_edge
 
     try:
         return read_edge(path)
     except DocumentError as error:
-        raise Fault(f"configuration: {error}") from error
+        raise InputFault(f"configuration: {error}") from error
 
 
 def _plan(document: EdgeDocument, settings: Path | None) -> Plan:
-    """What is checked: the settings, from the option or the document, and the fleet."""
+    """Builds the check's plan: the settings from the option or the document, routes, fleet and quotas."""
     from arrowfold.expectations.claims import AtMostAt, Reaches
     from arrowfold.expectations.sampling import fleet_of
     from arrowfold.expectations.worlds import Plan
@@ -231,25 +231,26 @@
 
     path = settings or document.check.settings
     if path is None:
-        raise Fault("configuration: check > settings is missing: name the settings there or by --settings")
+        raise InputFault(
+            "configuration: check > settings is missing: name the settings there or by --settings")
     try:
-        values, listed = read_settings(path)
+        platform_settings, zones_and_kinds = read_settings(path)
     except ConfigError as error:
-        raise Fault(f"configuration: {error}") from error
+        raise InputFault(f"configuration: {error}") from error
     targets = [e.claim.target for e in document.expectations if isinstance(e.claim, Reaches | AtMostAt)]
     kinds = {target.kind: None for target in targets if target.kind is not None}
-    fleet = fleet_of(values, document.routes, document.check.fleet or listed, kinds)
-    return Plan(values, document.routes, fleet, document.quotas)
+    fleet = fleet_of(platform_settings, document.routes, document.check.fleet or zones_and_kinds, kinds)
+    return Plan(platform_settings, document.routes, fleet, document.quotas)
 
 
-def _print(reports: list[Report], as_json: bool, about: dict[str, Any]) -> None:
-    broken = [report for report in reports if report.verdict != "holds"]
+def _print_reports(reports: list[Report], as_json: bool, totals: dict[str, Any]) -> None:
+    failed = [report for report in reports if report.verdict != "holds"]
     if as_json:
-        click.echo(json.dumps({**about, "expectations": [report.as_row() for report in reports]}, indent=1))
+        click.echo(json.dumps({**totals, "expectations": [report.as_row() for report in reports]}, indent=1))
     else:
         for report in reports:
             for line in report.lines():
                 click.echo(line)
-        click.echo(f"{len(reports)} expectations, {len(broken)} of them do not hold; " + ", ".join(
-            f"{name.replace('_', ' ')} {value}" for name, value in about.items()))
-    raise click.exceptions.Exit(BROKEN if broken else 0)
+        click.echo(f"{len(reports)} expectations, {len(failed)} of them do not hold; " + ", ".join(
+            f"{name.replace('_', ' ')} {value}" for name, value in totals.items()))
+    raise click.exceptions.Exit(EXIT_FAILED if failed else 0)
