--- a/arrowfold/__init__.py
+++ b/arrowfold/__init__.py
@@ -13,7 +13,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Load the dispatcher when it is asked for: programs that don't use it start sooner without it."""
+    """Imports the public classes on first use, so that programs without them start faster."""
     if name == "Dispatcher":
         from arrowfold.choice import Dispatcher
 
--- a/arrowfold/__main__.py
+++ b/arrowfold/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m arrowfold`: a node, as the platform starts it. With a command (`run FILE`): that command."""
+"""Entry point of `python -m arrowfold`: runs a node, or the command that is given."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 def main(arguments: list[str]) -> int:
-    """A node, where nothing is named; else what the command line says."""
-    # Guards the start of a node: a signal that comes while the rest is loaded waits until the loop turns.
+    """Runs a node if there are no arguments, else the command line. Returns the exit code."""
+    # Handles signals before the slower imports: one that arrives during the start is kept for the event loop.
     signals = Signals() if not arguments or arguments[0] == "run" else None
     if not arguments:
         from arrowfold.program.start import run_node
@@ -30,7 +30,7 @@
 
 
 def script() -> None:
-    """The console script."""
+    """Entry point of the console script `arrowfold`."""
     sys.exit(main(sys.argv[1:]))
 
 
--- a/arrowfold/program/__init__.py
+++ b/arrowfold/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, wiring, signals, counters and the log."""
+"""The node's process: configuration, assembly, signals, succession, log, trace and command line."""
--- a/arrowfold/program/start.py
+++ b/arrowfold/program/start.py
@@ -1,4 +1,4 @@
-"""Starts a node and runs it to its end."""
+"""Starts a node and runs it until it ends."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from arrowfold.program.signals import Signals
 from arrowfold.protocol.descriptions import DescriptionError
 
-FAULTY = 2
+EXIT_BAD_CONFIGURATION = 2
 
 
 def run_node(edge_file: Path | None, signals: Signals) -> int:
-    """The exit code of a node; a bad configuration ends it with one line and code 2."""
+    """Runs a node and returns its exit code; an invalid configuration is one line on stderr and code 2."""
     try:
         return _run(edge_file, signals)
     finally:
@@ -27,8 +27,8 @@
         node = Node(read_config(os.environ, edge_file), signals)
     except (ConfigError, DescriptionError) as error:
         print(f"arrowfold: configuration: {error}", file=sys.stderr)
-        return FAULTY
+        return EXIT_BAD_CONFIGURATION
     except OSError as error:
         print(f"arrowfold: configuration: listen: {error}", file=sys.stderr)
-        return FAULTY
+        return EXIT_BAD_CONFIGURATION
     return node.run()
