--- a/arrowfold/program/config.py
+++ b/arrowfold/program/config.py
@@ -49,14 +49,17 @@
 
     @property
     def faktory(self) -> FaktoryConfig | None:
+        """The Faktory front of the deployment's document, if any."""
         return self.edge.faktory if self.edge is not None else None
 
     @property
     def openapi(self) -> Path | None:
+        """The OpenAPI description that the document names, if any."""
         return self.edge.openapi if self.edge is not None else None
 
     @property
     def asyncapi(self) -> Path | None:
+        """The AsyncAPI description that the document names, if any."""
         return self.edge.asyncapi if self.edge is not None else None
 
     def changed_keys(self, other: Config) -> list[str]:
@@ -74,6 +77,7 @@
         self.values, self.prefix = values, prefix
 
     def get(self, key: str, expected_type: type | tuple[type, ...], default: Any = ...) -> Any:
+        """Returns a value of the expected type; a key without a default is required."""
         value = self.values.get(key)
         if value is None:
             if default is ...:
@@ -84,6 +88,7 @@
         return value
 
     def address(self, key: str, default: Any = ...) -> Address:
+        """Returns a `host:port` value as an address."""
         try:
             return parse_address(self.get(key, str, default))
         except ValueError as error:
@@ -254,7 +259,7 @@
 ) -> Config:
     """Reads and validates the whole configuration. Raises ConfigError, which names the faulty key.
 
-    On a reload, `running` is the configuration in use and `first` the one that the node started with. An
+    On a reload, `running` is the configuration in use and `initial` the one that the node started with. An
     environment variable overrides a key of the file only while the file still has its initial value for that
     key: the environment of a running process cannot be updated along with the file.
     """
--- a/arrowfold/program/document.py
+++ b/arrowfold/program/document.py
@@ -60,6 +60,7 @@
 
     @property
     def name(self) -> str:
+        """The node's KDL name, such as `rule`."""
         return str(self.kdl_node.name)
 
     def fault(self, text: str) -> DocumentError:
@@ -97,6 +98,7 @@
                 yield DocumentNode(kdl_node, f"{self.path} > {path}" if self.path else path, self.file)
 
     def child(self, name: str) -> DocumentNode | None:
+        """Returns the first child node with this name, if any."""
         return next(self.children(name), None)
 
     # --- values ------------------------------------------------------------------------------------------
@@ -118,27 +120,34 @@
         return self.kdl_node.args[0]
 
     def text(self) -> str:
+        """Returns the single value, a non-empty string."""
         return self._text("its value", self.single_value())
 
     def boolean(self) -> bool:
+        """Returns the single value, a boolean."""
         value = self.single_value()
         if not isinstance(value, bool):
             raise self.fault(f"its value is to be true or false, not {_format_value(value)}")
         return value
 
     def duration(self) -> timedelta:
+        """Returns the single value, a time with its unit."""
         return self._duration("its value", self.single_value())
 
     def integer(self, minimum: int = 1) -> int:
+        """Returns the single value, an integer of at least `minimum`."""
         return self._integer("its value", self.single_value(), minimum)
 
     def has_prop(self, name: str) -> bool:
+        """Whether the node has this property."""
         return name in self.kdl_node.props
 
     def prop_text(self, name: str, default: str | None = None) -> str | None:
+        """Returns a property, a non-empty string."""
         return self._text(name, self.kdl_node.props[name]) if self.has_prop(name) else default
 
     def prop_choice(self, name: str, choices: Collection[str], default: str | None = None) -> str:
+        """Returns a property that must be one of `choices`; without a default it is required."""
         text = self.prop_text(name, default)
         if text is None:
             raise self.fault(f"{name} is missing")
@@ -147,18 +156,22 @@
         return text
 
     def prop_duration(self, name: str, default: timedelta | None = None) -> timedelta | None:
+        """Returns a property, a time with its unit."""
         return self._duration(name, self.kdl_node.props[name]) if self.has_prop(name) else default
 
     def prop_integer(self, name: str, default: int, minimum: int = 1) -> int:
+        """Returns a property, an integer of at least `minimum`."""
         return self._integer(name, self.kdl_node.props[name], minimum) if self.has_prop(name) else default
 
     def prop_fraction(self, name: str, default: float) -> float:
+        """Returns a property, a number above 0 and at most 1."""
         value = self.kdl_node.props.get(name, default)
         if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value <= 1:
             raise self.fault(f"{name} is to be a number above 0 and at most 1, not {_format_value(value)}")
         return float(value)
 
     def number(self, minimum: float, maximum: float) -> float:
+        """Returns the single value, a number within the bounds."""
         value = self.single_value()
         if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
             raise self.fault(
@@ -166,6 +179,7 @@
         return float(value)
 
     def prop_boolean(self, name: str) -> bool | None:
+        """Returns a property, a boolean; None if it is absent."""
         value = self.kdl_node.props.get(name)
         if value is not None and not isinstance(value, bool):
             raise self.fault(f"{name} is to be true or false, not {_format_value(value)}")
--- a/arrowfold/program/succession.py
+++ b/arrowfold/program/succession.py
@@ -135,9 +135,10 @@
         self.stream = Stream(loop, sock, connected=True, urgent=True)
         self.backlog, self.unread = bytearray(), unread
         self.sessions: set[str] = set()  # ids of the requests that the other process has open
+        # is_synced: the state was sent or received, so that changes are forwarded over this link.
         self.is_successor = self.is_serving = self.is_synced = False
         self.confirmed_calls: set[int] = set()
-        self.waiting_tasks: dict[int, Task] = {}
+        self.waiting_tasks: dict[int, Task] = {}  # by the number of the forwarded command
         self.reader = loop.spawn(self._read(), "succession", urgent=True)
         self.writer = loop.spawn(self._write(), "succession", urgent=True)
 
