--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,4 +1,4 @@
-"""What `check` says without traffic, `judge` says of traffic: the same document, the same verdicts."""
+"""`check` without traffic and `judge` on real traffic give the same verdicts for the same document."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from tests.edge import LONG, ROOT, SETTINGS, Discovery, EdgeCase, Node, Worker, eventually, request_class
 
-HERE: dict[str, Any] = {
+AGREEMENT_SETTINGS: dict[str, Any] = {
     **SETTINGS, "locality": "c",
     "classes": [request_class("search", limit_ms=6000, aim_ms=400),
                 request_class("record", "keyed", limit_ms=6000, aim_ms=400)]}
@@ -73,16 +73,16 @@
 )
 
 
-def document(late: str) -> str:
+def document(late_rule: str) -> str:
     rows = [f'expect "{name}" {{\n {f"when {{{chr(10)} {when}{chr(10)}}}" if when else ""}\n {claim}\n}}'
             for name, when, claim, _ in EXPECTED]
-    return DOCUMENT.replace("LATE", late).replace("EXPECTATIONS", "\n".join(rows))
+    return DOCUMENT.replace("LATE", late_rule).replace("EXPECTATIONS", "\n".join(rows))
 
 
 class Agreement(EdgeCase):
     def setUp(self) -> None:
         super().setUp()
-        self.first: set[str] = set()
+        self.seen_jobs: set[str] = set()
         self.lock = threading.Lock()
         self.c1, self.c2, self.n1 = (
             Worker(name, self.behave, zone=zone) for name, zone in (("c1", "c"), ("c2", "c"), ("n1", "n")))
@@ -91,17 +91,17 @@
             self.addCleanup(worker.release.set)
 
     def behave(self, job: str, nth: int) -> str | int:
-        """The first attempt of a job ends as its name says."""
+        """The first attempt of a job ends as the prefix of its name says; further ones succeed."""
         with self.lock:
-            first, _ = job not in self.first, self.first.add(job)
-        how: dict[str, str | int] = {"away": 503, "reset": "reset", "mute": "mute"}
-        return how.get(job.split("-")[0], "done") if first else "done"
+            is_first, _ = job not in self.seen_jobs, self.seen_jobs.add(job)
+        behaviours: dict[str, str | int] = {"away": 503, "reset": "reset", "mute": "mute"}
+        return behaviours.get(job.split("-")[0], "done") if is_first else "done"
 
-    def own(self, worker: Worker, state: str) -> None:
+    def record_own_state(self, worker: Worker, state: str) -> None:
         with (self.folder / "fleet.jsonl").open("a") as file:
             file.write(json.dumps({"at": time.time(), "server": worker.uid, "state": state}) + "\n")
 
-    def jobs(self, node: Node, start: str, count: int, name: str = "search", expires: str = "6000m",
+    def submit(self, node: Node, start: str, count: int, name: str = "search", expires: str = "6000m",
              pause: float = 0.0, **headers: str) -> list[int]:
         answered = []
         for n in range(count):
@@ -111,42 +111,42 @@
 
     def traffic(self, node: Node, discovery: Discovery) -> None:
         for name in ("search", "record"):
-            self.jobs(node, f"here-{name}", 4, name, X_Region="here")
-            self.jobs(node, f"there-{name}", 4, name, X_Region="there")
+            self.submit(node, f"here-{name}", 4, name, X_Region="here")
+            self.submit(node, f"there-{name}", 4, name, X_Region="there")
         inner = http.client.HTTPConnection(
             "127.0.0.1", node.port, timeout=LONG, source_address=("127.0.0.9", 0))
         self.assertEqual(node.post("inner", connection=inner)[0], 200)
         inner.close()
-        self.jobs(node, "away", 2, X_Region="here")  # turned away, then served
-        self.jobs(node, "reset", 2, "record", X_Region="here")
-        self.jobs(node, "mute", 1, X_Region="here")  # its server says nothing: a second copy
-        # Maintenance, whatever the list goes on saying.
+        self.submit(node, "away", 2, X_Region="here")  # refused, then served
+        self.submit(node, "reset", 2, "record", X_Region="here")
+        self.submit(node, "mute", 1, X_Region="here")  # its worker does not answer: a hedged attempt
+        # Maintenance applies although the list still names the worker in service.
         self.assertEqual(node.call("maint-on c1"), "ok maint-on c1\n")
         discovery.tell(self.c1.row())
-        self.jobs(node, "out", 6, X_Region="here")
+        self.submit(node, "out", 6, X_Region="here")
         self.assertEqual(node.call("maint-off c1"), "ok maint-off c1\n")
-        # The only server of a region drains, and the list says so 1.6 s later.
-        self.own(self.n1, "draining")
+        # The only worker of a region drains, and the list shows it 1.6 s later.
+        self.record_own_state(self.n1, "draining")
         until = time.monotonic() + 1.6
         while time.monotonic() < until:
-            self.jobs(node, f"lag-{time.monotonic()}", 1, pause=0.03, X_Region="there")
+            self.submit(node, f"lag-{time.monotonic()}", 1, pause=0.03, X_Region="there")
         before = node.counters()["discovery_messages"]
         discovery.tell(self.n1.row("DRAINING"))
         eventually(lambda: node.counters()["discovery_messages"] > before)
         time.sleep(1.1)
-        self.jobs(node, "drained", 2, expires="300m", X_Region="there")
-        self.jobs(node, "meanwhile", 4, X_Region="here")
-        # It comes back, cold.
-        self.own(self.n1, "in-service")
+        self.submit(node, "drained", 2, expires="300m", X_Region="there")
+        self.submit(node, "meanwhile", 4, X_Region="here")
+        # It returns after a restart, cold.
+        self.record_own_state(self.n1, "in-service")
         self.n1.boot_ms = int(time.time() * 1000)
         discovery.tell(self.n1.row())
         eventually(lambda: node.counters()["discovery_messages"] > before + 1)
-        self.assertIn(200, self.jobs(node, "cold", 8, pause=0.05, X_Region="there"))
-        # Another route, while running.
+        self.assertIn(200, self.submit(node, "cold", 8, pause=0.05, X_Region="there"))
+        # A reload adds a route.
         node.edge_file.write_text(document(LATE))
         node.reload()
         eventually(lambda: node.counters().get("reloads_routes", 0) == 1)
-        self.assertEqual(set(self.jobs(node, "late", 4, X_Customer="late")), {503})
+        self.assertEqual(set(self.submit(node, "late", 4, X_Customer="late")), {503})
 
     def verdicts(self, *arguments: str) -> dict[str, str]:
         done = subprocess.run(
@@ -159,7 +159,7 @@
     def test_check_and_judge_agree_on_every_expectation(self) -> None:
         discovery = self.discovery(self.c1, self.c2, self.n1)
         node = self.node(self.c1, self.c2, self.n1, discovery=discovery.address, edge=document(""),
-                         settings=HERE)
+                         settings=AGREEMENT_SETTINGS)
         eventually(lambda: node.counters().get("discovery_messages", 0) >= 2)
         self.traffic(node, discovery)
         self.assertEqual(node.terminate(), 0)
@@ -174,6 +174,6 @@
         self.assertEqual(self.verdicts("check", edge, "--settings", str(node.file)), expected)
         self.assertGreaterEqual(sum(v == "fails" for v in expected.values()), 6)
         by_name = {row["name"]: row for row in self.report["expectations"]}
-        # Both hard cases: the border of the lag, and the setting that takes the other's promise.
+        # The two hard cases: the limit of the list's lag, and the rule that contradicts the expectation.
         self.assertLessEqual(abs(by_name["drains by themselves"]["holds_while_lag_under_ms"] - 1050), 50)
         self.assertIn('routes > rule "outer" > prefer', by_name["the inner network is denied"]["between"])
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -1,4 +1,4 @@
-"""The check, over sample documents: each expectation's verdict, and what a failure names."""
+"""The check on sample documents: each expectation's verdict, and what the report of a failure names."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from tests.samples import SAMPLES, Sample
 
 
-def written(sample: Sample, folder: Path) -> Path:
-    """A sample as a document with its settings beside it."""
+def write_document(sample: Sample, folder: Path) -> Path:
+    """Writes a sample as a document with its settings file beside it; returns the document's path."""
     conf: Any = json.loads((ROOT / "deploy/settings.json").read_text())
     conf["settings"]["permissions"] |= sample.settings
     conf["settings"]["domain"]["classKind"] = list(sample.kinds)
@@ -27,38 +27,38 @@
     return path
 
 
-def loaded(sample: Sample) -> tuple[EdgeDocument, Check]:
+def load_check(sample: Sample) -> tuple[EdgeDocument, Check]:
     with tempfile.TemporaryDirectory() as folder:
-        document = read_edge(written(sample, Path(folder)))
+        document = read_edge(write_document(sample, Path(folder)))
         return document, Check(_plan(document, None), document.expectations)
 
 
 class Samples(unittest.TestCase):
-    def held(self, sample: Sample) -> dict[str, Report]:
-        _, check = loaded(sample)
+    def check_sample(self, sample: Sample) -> dict[str, Report]:
+        _, check = load_check(sample)
         reports = {report.name: report for report in check.run()}
-        got = {name: report.verdict for name, report in reports.items()}
-        self.assertEqual(got, {name: row[2] for name, row in sample.expectations.items()})
+        verdicts = {name: report.verdict for name, report in reports.items()}
+        self.assertEqual(verdicts, {name: row[2] for name, row in sample.expectations.items()})
         for name, paths in sample.named.items():
             for path in (*paths, reports[name].path):
                 self.assertIn(path, reports[name].between, f"{sample.name}: {name}")
-        for name, border in sample.borders.items():
+        for name, limit_ms in sample.borders.items():
             found = reports[name].border_ms
             assert found is not None, f"{sample.name}: {name} has no border"
-            self.assertLessEqual(abs(found - border), 50)
+            self.assertLessEqual(abs(found - limit_ms), 50)
         for report in reports.values():
             if report.verdict == "fails":
                 assert report.world is not None
                 world = World.from_token(report.world.token())
                 self.assertEqual(world, report.world)
-                told = list(check.replay(world))
-                self.assertIn(f"breaks {report.name!r}: {report.broke}", told)
+                replayed = list(check.replay(world))
+                self.assertIn(f"breaks {report.name!r}: {report.broke}", replayed)
         return reports
 
 
 def _case(sample: Sample) -> Any:
     def test(self: Samples) -> None:
-        self.held(sample)
+        self.check_sample(sample)
 
     return test
 
@@ -71,15 +71,15 @@
 class Checking(unittest.TestCase):
     def test_the_same_seed_gives_the_same_output_to_the_byte(self) -> None:
         def output(seed: int) -> str:
-            document, check = loaded(SAMPLES[3])
+            document, check = load_check(SAMPLES[3])
             again = Check(check.plan, document.expectations, seed)
             return json.dumps([report.as_row() for report in again.run()])
 
         self.assertEqual(output(1), output(1))
         self.assertNotEqual(output(1), output(2))
 
-    def test_every_pair_of_what_can_happen_is_played(self) -> None:
-        _, check = loaded(SAMPLES[0])
+    def test_every_pair_of_options_is_played(self) -> None:
+        _, check = load_check(SAMPLES[0])
         worlds = check.worlds()
         pairs = {(w.load, w.ending) for w in worlds}
         events = {(w.request_class, w.event) for w in worlds}
--- a/tests/test_document.py
+++ b/tests/test_document.py
@@ -1,4 +1,4 @@
-"""Faulty documents: each gets one line that names the path of the node at fault, and exit code 2."""
+"""Invalid documents: each is reported in one line with the path of the node at fault, and exit code 2."""
 
 from __future__ import annotations
 
@@ -81,35 +81,35 @@
 )
 
 
-class Faulty(unittest.TestCase):
+class InvalidDocuments(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.file = Path(folder.name) / "edge.kdl"
 
-    def test_each_fault_is_one_line_with_its_path(self) -> None:
+    def test_each_fault_is_reported_in_one_line_with_its_path(self) -> None:
         for text, line in FAULTS:
             self.file.write_text(text)
             with self.assertRaises(DocumentError, msg=text) as caught:
                 read_edge(self.file)
-            said = str(caught.exception)
-            self.assertIn(line, said)
-            self.assertTrue(said.startswith(str(self.file)) and "\n" not in said, said)
+            message = str(caught.exception)
+            self.assertIn(line, message)
+            self.assertTrue(message.startswith(str(self.file)) and "\n" not in message, message)
 
-    def test_a_file_that_is_none(self) -> None:
+    def test_an_unreadable_file_is_refused(self) -> None:
         self.file.write_bytes(b"\xff\xfe\x00")
         for path in (self.file, self.file.with_name("nowhere.kdl"), self.file.parent):
             with self.assertRaises(DocumentError):
                 read_edge(path)
 
-    def test_times_become_spans_whatever_their_unit(self) -> None:
-        for text, span in (("(us)1500", 0.0015), ("(ms)250", 0.25), ("(s)1.5", 1.5), ("(min)2", 120),
+    def test_times_are_read_in_each_unit(self) -> None:
+        for text, seconds in (("(us)1500", 0.0015), ("(ms)250", 0.25), ("(s)1.5", 1.5), ("(min)2", 120),
                            ("(h)1", 3600)):
             self.file.write_text(rule(f"deny retry-after={text}"))
-            (found,) = read_edge(self.file).routes.rules
-            self.assertEqual(found.action.retry_after, timedelta(seconds=span))
+            (rule_read,) = read_edge(self.file).routes.rules
+            self.assertEqual(rule_read.action.retry_after, timedelta(seconds=seconds))
 
-    def test_every_command_says_the_line_and_ends_with_2(self) -> None:
+    def test_every_command_reports_the_fault_and_exits_with_2(self) -> None:
         self.file.write_text(rule('prefer "s"'))
         toml = self.file.with_name("edge.toml")
         toml.write_text("")
@@ -123,7 +123,9 @@
                 (["check", str(ROOT / "deploy/edge.kdl"), "--replay", "x"], "no token of a world"),
                 (["check", str(ROOT / "deploy/edge.kdl"), "--only", "x"], "no expectation is named 'x'"),
                 (["try", "--jobs", "0"], "--jobs")):
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "arrowfold", *arguments], cwd=ROOT, capture_output=True, text=True)
-            self.assertEqual((done.returncode, done.stdout, done.stderr.count("\n")), (2, "", 1), done.stderr)
-            self.assertIn(line, done.stderr)
+            self.assertEqual(
+                (completed.returncode, completed.stdout, completed.stderr.count("\n")), (2, "", 1),
+                completed.stderr)
+            self.assertIn(line, completed.stderr)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""What the platform asks of the deploy file and of a node that is refused what it could do without."""
+"""The platform's requirements on the deploy file, and a node on a kernel with restricted system calls."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
 
-# Before the program: a kernel that knows no Unix sockets and starts no processes.
-REFUSE = """
+# Starts a node as on a kernel without Unix sockets that refuses to start processes.
+RESTRICTED_START = """
 import errno, os, socket, sys
 real = socket.socket
 class Refusing(real):
@@ -34,8 +34,8 @@
 
 
 class Deploy(EdgeCase):
-    def test_node_names_what_a_real_node_loads(self) -> None:
-        """Also with a document, whose parts are loaded only then."""
+    def test_the_deploy_file_names_all_that_a_node_loads(self) -> None:
+        """Includes the modules that are imported only with a deployment's document."""
         code = ("import sys\n"
                 "from arrowfold.program import config, edge, node, start, trace\n"
                 "from arrowfold.quotas import gate\n"
@@ -48,34 +48,35 @@
         for path in map(Path, loaded):
             self.assertTrue(any(path == name or name in path.parents for name in named), path)
 
-    def test_build_compiles_all_that_a_node_loads_and_a_changed_text_counts(self) -> None:
-        """Guards a fleet that starts at once on few cores: to compile took each half as long again."""
+    def test_build_compiles_all_that_a_node_loads_and_a_changed_source_is_used(self) -> None:
+        """Guards against compiling at start, which made a fleet's starts on few cores 1.5 times as long."""
         step = DEPLOY["build"].split("&&")[-1].strip().replace(".venv/bin/python", sys.executable)
         shutil.copytree(ROOT / "arrowfold", self.folder / "arrowfold",
                         ignore=shutil.ignore_patterns("__pycache__"))
         subprocess.run(["/bin/sh", "-c", step], cwd=self.folder, check=True)
-        texts = list((self.folder / "arrowfold").rglob("*.py"))
-        self.assertGreater(len(texts), 40)
-        for text in texts:
-            compiled = Path(importlib.util.cache_from_source(str(text))).read_bytes()
-            self.assertEqual(int.from_bytes(compiled[4:8], "little"), 0b11, text)  # held by a checked hash
-        quiet = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}
+        sources = list((self.folder / "arrowfold").rglob("*.py"))
+        self.assertGreater(len(sources), 40)
+        for source in sources:
+            compiled = Path(importlib.util.cache_from_source(str(source))).read_bytes()
+            self.assertEqual(int.from_bytes(compiled[4:8], "little"), 0b11, source)  # checked hash
+        environ = {**os.environ, "PYTHONDONTWRITEBYTECODE": "1"}
         state = self.folder / "arrowfold" / "state.py"
         state.write_text(state.read_text() + "\nLATER = 7\n")
-        said = subprocess.run([sys.executable, "-c", "from arrowfold import state; print(state.LATER)"],
-                              cwd=self.folder, env=quiet, capture_output=True, text=True, check=True).stdout
-        self.assertEqual(said, "7\n")
+        output = subprocess.run(
+            [sys.executable, "-c", "from arrowfold import state; print(state.LATER)"],
+            cwd=self.folder, env=environ, capture_output=True, text=True, check=True).stdout
+        self.assertEqual(output, "7\n")
 
-    def test_run_ends_in_one_process(self) -> None:
+    def test_run_replaces_the_shell_by_the_node(self) -> None:
         self.assertTrue(DEPLOY["run"].split(";")[-1].strip().startswith("exec "), DEPLOY["run"])
         for key in ("build", "run", "sim", "policy", "node"):
             self.assertTrue(DEPLOY[key], key)
 
     def test_a_node_serves_without_unix_sockets_and_other_processes(self) -> None:
-        (self.folder / "refuse.py").write_text(REFUSE)
+        (self.folder / "refuse.py").write_text(RESTRICTED_START)
         worker = self.worker("s1")
         node = self.node(worker, shell=f"PYTHONPATH={ROOT} exec {sys.executable} {self.folder / 'refuse.py'}")
         self.assertEqual(node.post("t")[:2], (200, b"s1:t"))
         self.assertEqual(node.terminate(), 0)
-        said = node.close()
-        self.assertEqual(said.count("succession_no_place"), 1, said)
+        output = node.close()
+        self.assertEqual(output.count("succession_no_place"), 1, output)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that can't be meant: each is named by its path, at the start and at SIGHUP."""
+"""Invalid settings: each is reported with its path, at the start and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from arrowfold.standins.servers import LONG, eventually
 from tests.edge import SETTINGS, EdgeCase
 
-FAULTY: list[tuple[tuple[str | int, ...], str, tuple[Any, ...]]] = [
+INVALID: list[tuple[tuple[str | int, ...], str, tuple[Any, ...]]] = [
     (("classes",), "classes", ("x", -1, [], {}, None, True)),
     (("classes", 0), "classes[0]", ("x", -1, [], {}, None)),
     *[(("classes", 1, key), f"classes[1].{key}", ("x", -1, [], {}, True, float("nan"), 10**30))
@@ -37,12 +37,12 @@
 ]
 
 
-def spoilt(place: tuple[str | int, ...], value: Any) -> dict[str, Any]:
+def with_value(key_path: tuple[str | int, ...], value: Any) -> dict[str, Any]:
     settings: Any = copy.deepcopy(SETTINGS)
-    inner = settings
-    for key in place[:-1]:
-        inner = inner[key]
-    inner[place[-1]] = value
+    section = settings
+    for key in key_path[:-1]:
+        section = section[key]
+    section[key_path[-1]] = value
     return settings  # type: ignore[no-any-return]
 
 
@@ -53,30 +53,30 @@
             file.write_text(json.dumps({"listen": "127.0.0.1:1", "settings": settings}))
             return read_config({"EDGE_CONFIG": str(file)}, None)
 
-    def test_what_is_of_the_wrong_kind_is_named_by_its_path(self) -> None:
-        for place, path, values in FAULTY:
+    def test_a_value_of_the_wrong_type_is_reported_with_its_path(self) -> None:
+        for key_path, path, values in INVALID:
             for value in values:
                 with self.subTest(path=path, value=value):
-                    with self.assertRaises(ConfigError) as said:
-                        self.read(spoilt(place, value))
-                    self.assertIn(path, str(said.exception))
+                    with self.assertRaises(ConfigError) as raised:
+                        self.read(with_value(key_path, value))
+                    self.assertIn(path, str(raised.exception))
 
-    def test_what_is_null_or_unknown_is_neutral(self) -> None:
-        for place in (("classes", 0, "importance"), ("classes", 0, "windowUs"), ("contract", "coldUs"),
+    def test_null_and_unknown_settings_are_accepted(self) -> None:
+        for key_path in (("classes", 0, "importance"), ("classes", 0, "windowUs"), ("contract", "coldUs"),
                       ("permissions", "connIdleUs"), ("domain", "progressUs"), ("overShareWorth",)):
-            self.assertEqual(self.read(spoilt(place, None)).settings.classes[0].worth, 1.0)
-        self.read(spoilt(("something",), {"new": [1]}))
+            self.assertEqual(self.read(with_value(key_path, None)).settings.classes[0].worth, 1.0)
+        self.read(with_value(("something",), {"new": [1]}))
 
 
 class AtANode(EdgeCase):
     def test_exit_2_at_the_start_and_nothing_changes_at_sighup(self) -> None:
-        worst = spoilt(("permissions", "sendCap"), float("inf"))
-        refused = self.node(self.worker("s0"), settings=worst)
+        infinite_cap = with_value(("permissions", "sendCap"), float("inf"))
+        refused = self.node(self.worker("s0"), settings=infinite_cap)
         self.assertEqual(refused.process.wait(LONG), 2)
         self.assertIn("permissions.sendCap", refused.close())
         node = self.node(self.worker("s1"))
-        for count, (place, _, values) in enumerate(FAULTY, 1):
-            node.reload(settings=spoilt(place, values[0]))
+        for count, (key_path, _, values) in enumerate(INVALID, 1):
+            node.reload(settings=with_value(key_path, values[0]))
             eventually(
                 lambda count=count: node.counters().get("reloads_refused") == count)  # type: ignore[misc]
         self.assertEqual(node.post("t1")[0], 200)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come faster than the loop turns, or before it does."""
+"""Signals that arrive faster than the event loop handles them, or before it runs."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 ROOT = Path(__file__).parent.parent
 LONG = 20.0
 
-# A storm of SIGHUP comes before the loop turns for the first time, as while a process loads; then a SIGTERM.
-STORM = """
+# A burst of SIGHUPs arrives before the loop runs, as during the imports of a process; then one SIGTERM.
+BURST_SCRIPT = """
 import os, signal, sys
 from arrowfold.program.signals import Signals
 from arrowfold.transport.loop import Loop
@@ -41,23 +41,23 @@
 """
 
 
-class Storms(unittest.TestCase):
-    def storm(self, hangups: int, when: str) -> int:
-        command = [sys.executable, "-c", STORM, str(hangups), when]
+class Bursts(unittest.TestCase):
+    def exit_code_after_burst(self, hangups: int, when: str) -> int:
+        command = [sys.executable, "-c", BURST_SCRIPT, str(hangups), when]
         return subprocess.run(command, cwd=ROOT, timeout=LONG, env=dict(os.environ)).returncode
 
-    def test_a_termination_behind_more_hangups_than_one_reading_takes(self) -> None:
-        self.assertEqual(self.storm(20_000, "later"), 0)
+    def test_a_sigterm_behind_more_sighups_than_one_read_takes(self) -> None:
+        self.assertEqual(self.exit_code_after_burst(20_000, "later"), 0)
 
-    def test_a_termination_behind_hangups_that_fill_the_pipe(self) -> None:
-        self.assertEqual(self.storm(70_000, "before"), 0)
+    def test_a_sigterm_behind_sighups_that_fill_the_pipe(self) -> None:
+        self.assertEqual(self.exit_code_after_burst(70_000, "before"), 0)
 
     def test_a_few_signals_are_taken_once(self) -> None:
-        self.assertEqual(self.storm(3, "later"), 0)
+        self.assertEqual(self.exit_code_after_burst(3, "later"), 0)
 
 
 class Taking(unittest.TestCase):
-    def test_each_kind_is_told_once_and_the_first_one_first(self) -> None:
+    def test_each_signal_is_returned_once_and_the_first_one_first(self) -> None:
         script = (
             "import os, signal\n"
             "from arrowfold.program.signals import Signals\n"
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -1,4 +1,4 @@
-"""Replacing the process: a newcomer takes over under load, and nothing is lost."""
+"""Replacement of the process under load: the successor takes over and no request is lost."""
 
 from __future__ import annotations
 
@@ -13,139 +13,139 @@
 
 
 class Replacing(EdgeCase):
-    def second(self, node: Node, *workers: Any, **options: Any) -> Node:
-        """The program once more at the same client address, once it says yes."""
-        fresh = self.node(*workers, port=node.port, wait=False, **options)
-        eventually(lambda: self.says_yes(fresh))
-        return fresh
+    def start_successor(self, node: Node, *workers: Any, **options: Any) -> Node:
+        """Starts a second process of the node at the same client address and waits until it is ready."""
+        successor = self.node(*workers, port=node.port, wait=False, **options)
+        eventually(lambda: self.reports_ready(successor))
+        return successor
 
-    def says_yes(self, node: Node) -> bool:
+    def reports_ready(self, node: Node) -> bool:
         self.assertIsNone(node.process.poll(), node.process.returncode)
         try:
             return node.call("status").startswith("ok")
         except OSError:
             return False
 
-    def test_every_job_of_a_change_under_load_is_answered_and_none_is_turned_back(self) -> None:
+    def test_every_request_during_a_replacement_under_load_is_answered(self) -> None:
         worker = self.worker("s1", lambda job, nth: "hold" if job == "open" else "done")
-        out = self.worker("s2")
-        discovery = self.discovery(worker, out)
-        old = self.node(worker, out, discovery=discovery.address)
+        other = self.worker("s2")
+        discovery = self.discovery(worker, other)
+        old = self.node(worker, other, discovery=discovery.address)
         eventually(lambda: old.counters().get("discovery_messages", 0) >= 2)
         old.call("maint-on s2")
-        answers: list[Any] = []
-        held = threading.Thread(target=lambda: answers.append(old.post("open", "once")))
-        held.start()
+        replies: list[Any] = []
+        client = threading.Thread(target=lambda: replies.append(old.post("open", "once")))
+        client.start()
         eventually(lambda: any(row[0] == "open" for row in worker.jobs))
-        faults: list[object] = []
-        over = threading.Event()
+        failures: list[object] = []
+        stop = threading.Event()
 
-        def hammer(name: str, keep: bool) -> None:
-            """Jobs one after the other; a kept connection may be closed between two, a new one may not."""
-            link, n = http.client.HTTPConnection("127.0.0.1", old.port, timeout=LONG), 0
-            while not over.is_set():
+        def send_requests(name: str, keep_alive: bool) -> None:
+            """Sends requests one by one. A kept connection may close between two; a new one must not fail."""
+            connection, n = http.client.HTTPConnection("127.0.0.1", old.port, timeout=LONG), 0
+            while not stop.is_set():
                 n += 1
                 try:
-                    rows = {"X-Trace-Id": f"{name}-{n}", "X-Qos": "search", "X-Expires-In": "20000m"}
-                    link.request("POST", "/search", b"q", rows)
-                    answer = link.getresponse()
+                    headers = {"X-Trace-Id": f"{name}-{n}", "X-Qos": "search", "X-Expires-In": "20000m"}
+                    connection.request("POST", "/search", b"q", headers)
+                    answer = connection.getresponse()
                     answer.read()
                     if answer.status != 200:
-                        faults.append(answer.status)
+                        failures.append(answer.status)
                 except (OSError, http.client.HTTPException) as error:
-                    if not keep or link.sock is None:
-                        faults.append(error)
-                    link.close()
-                if not keep:
-                    link.close()
+                    if not keep_alive or connection.sock is None:
+                        failures.append(error)
+                    connection.close()
+                if not keep_alive:
+                    connection.close()
 
-        threads = [threading.Thread(target=hammer, args=(f"h{k}", k % 2 == 0)) for k in range(6)]
+        threads = [threading.Thread(target=send_requests, args=(f"h{k}", k % 2 == 0)) for k in range(6)]
         for thread in threads:
             thread.start()
-        fresh = self.second(old, worker, out, discovery=discovery.address)
-        self.assertEqual(fresh.call("status"), "ok ready; in maintenance: s2\n")
-        # A call at either holds for both, and an id that is open in one is not taken in the other.
-        self.assertEqual(fresh.call("maint-off s2"), "ok maint-off s2\n")
+        successor = self.start_successor(old, worker, other, discovery=discovery.address)
+        self.assertEqual(successor.call("status"), "ok ready; in maintenance: s2\n")
+        # A command at either process applies to both; a request id open in one is refused by the other.
+        self.assertEqual(successor.call("maint-off s2"), "ok maint-off s2\n")
         self.assertEqual(old.call("status"), "ok ready; in maintenance: none\n")
         old.call("maint-on s2")
-        self.assertEqual(fresh.call("status"), "ok ready; in maintenance: s2\n")
-        middle = len(out.jobs)
+        self.assertEqual(successor.call("status"), "ok ready; in maintenance: s2\n")
+        jobs_before = len(other.jobs)
         old.process.send_signal(signal.SIGTERM)
         eventually(lambda: old.call("status").startswith("fail"))
         eventually(lambda: old.raw(post("open", "Connection: close"))[:12] == b"HTTP/1.1 409")
         worker.release.set()
-        held.join(LONG)
-        self.assertEqual(answers[0][:2], (200, b"s1:open"))
+        client.join(LONG)
+        self.assertEqual(replies[0][:2], (200, b"s1:open"))
         self.assertEqual(old.process.wait(LONG), 0)
-        taken = fresh.counters()["taken"]
-        eventually(lambda: fresh.counters()["taken"] > taken + 50)
-        over.set()
+        taken = successor.counters()["taken"]
+        eventually(lambda: successor.counters()["taken"] > taken + 50)
+        stop.set()
         for thread in threads:
             thread.join(LONG)
-        self.assertEqual(faults, [])
-        self.assertEqual(len(out.jobs), middle)
-        self.assertEqual(fresh.call("maint-off s2"), "ok maint-off s2\n")
-        self.assertEqual(fresh.terminate(), 0)
+        self.assertEqual(failures, [])
+        self.assertEqual(len(other.jobs), jobs_before)
+        self.assertEqual(successor.call("maint-off s2"), "ok maint-off s2\n")
+        self.assertEqual(successor.terminate(), 0)
 
-    def test_standby_goes_over_and_is_ended_for_both(self) -> None:
+    def test_standby_is_handed_over_and_ended_for_both(self) -> None:
         worker = self.worker("s1")
         old = self.node(worker)
         old.call("standby")
-        fresh = self.node(worker, port=old.port, wait=False)
-        eventually(lambda: self.answers(fresh) == "fail not ready: standby\n")
-        fresh.call("active")
-        self.assertEqual((old.call("status")[:8], fresh.call("status")[:8]), ("ok ready", "ok ready"))
+        successor = self.node(worker, port=old.port, wait=False)
+        eventually(lambda: self.status_or_empty(successor) == "fail not ready: standby\n")
+        successor.call("active")
+        self.assertEqual((old.call("status")[:8], successor.call("status")[:8]), ("ok ready", "ok ready"))
 
-    def answers(self, node: Node) -> str:
+    def status_or_empty(self, node: Node) -> str:
         try:
             return node.call("status")
         except OSError:
             return ""
 
-    def test_a_dead_predecessor_leaves_nothing_that_stops_a_start(self) -> None:
+    def test_a_killed_predecessor_does_not_prevent_a_start(self) -> None:
         worker = self.worker("s1")
         for _ in range(2):
             old = self.node(worker)
             old.call("maint-on s1")
             old.process.kill()
             old.process.wait()
-            fresh = self.second(old, worker)
-            self.assertEqual(fresh.call("status"), "ok ready; in maintenance: none\n")
-            self.assertEqual(fresh.post("t")[0], 200)
-            fresh.process.kill()
+            successor = self.start_successor(old, worker)
+            self.assertEqual(successor.call("status"), "ok ready; in maintenance: none\n")
+            self.assertEqual(successor.post("t")[0], 200)
+            successor.process.kill()
 
-    def test_a_predecessor_that_hangs_is_left_to_itself(self) -> None:
+    def test_a_predecessor_that_hangs_is_ignored(self) -> None:
         worker = self.worker("s1")
         old = self.node(worker)
         old.process.send_signal(signal.SIGSTOP)
-        self.second(old, worker)
+        self.start_successor(old, worker)
         old.process.kill()
         self.assertEqual(old.process.wait(), -signal.SIGKILL)
         self.assertEqual(old.post("t")[0], 200)
 
-    def test_a_newcomer_that_dies_changes_nothing_and_the_next_one_finds_the_old(self) -> None:
+    def test_a_killed_successor_changes_nothing_and_the_next_one_finds_the_old(self) -> None:
         worker, other = self.worker("s1"), self.worker("s2")
         old = self.node(worker, other)
         old.call("maint-on s1")
         first = self.node(worker, other, port=old.port, wait=False)
-        eventually(lambda: "maintenance: s1" in self.answers(first))
+        eventually(lambda: "maintenance: s1" in self.status_or_empty(first))
         first.process.kill()
         first.process.wait()
         second = self.node(worker, other, port=old.port, wait=False)
-        eventually(lambda: "maintenance: s1" in self.answers(second))
+        eventually(lambda: "maintenance: s1" in self.status_or_empty(second))
         self.assertEqual(second.call("maint-off s1"), "ok maint-off s1\n")
         self.assertEqual(old.call("status"), "ok ready; in maintenance: none\n")
         old.process.send_signal(signal.SIGTERM)
         self.assertEqual(old.process.wait(LONG), 0)
         self.assertEqual(second.post("t")[0], 200)
 
-    def test_the_place_is_private_and_left_clean(self) -> None:
+    def test_the_socket_is_private_and_removed_at_the_end(self) -> None:
         node = self.node(self.worker("s1"))
-        (place,) = [path for path in self.folder.iterdir() if path.is_socket()]
-        self.assertEqual(place.stat().st_mode & 0o777, 0o600)
+        (socket_file,) = [path for path in self.folder.iterdir() if path.is_socket()]
+        self.assertEqual(socket_file.stat().st_mode & 0o777, 0o600)
         with socket.socket(socket.AF_UNIX) as stranger:
-            stranger.connect(str(place))
+            stranger.connect(str(socket_file))
             stranger.sendall(b"nonsense\n")
             self.assertEqual(stranger.recv(10), b"")
         self.assertEqual(node.terminate(), 0)
-        self.assertFalse(place.exists())
+        self.assertFalse(socket_file.exists())
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace: bounded, never in a job's way, and read back as it was written."""
+"""The trace: bounded in memory and on disk, never delays a request, and is read back as written."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FakeLoop:
-    """Time that stands still, and calls that wait until they are asked for."""
+    """A loop with a fixed clock; scheduled calls are collected for the test to run."""
 
     def __init__(self) -> None:
         self.calls: list[Callable[[], None]] = []
@@ -39,7 +39,7 @@
         self.calls.append(call)
 
 
-class Full:
+class FullDisk:
     """A file on a disk that is full."""
 
     def write(self, data: bytes) -> int:
@@ -51,11 +51,11 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path, self.counters = Path(folder.name) / "trace.jsonl", Counter[str]()
-        self.loop, self.lines = FakeLoop(), list[str]()
+        self.loop, self.logged_events = FakeLoop(), list[str]()
 
-    def trace(self, most_bytes: int = 2**20, most_waiting: int = 100) -> TraceFile:
-        return TraceFile(self.loop, TraceConfig(self.path, most_bytes, most_waiting), "n",  # type: ignore[arg-type]
-                         self.counters, lambda event, **fields: self.lines.append(event))
+    def trace(self, max_bytes: int = 2**20, max_queued_spans: int = 100) -> TraceFile:
+        return TraceFile(self.loop, TraceConfig(self.path, max_bytes, max_queued_spans), "n",  # type: ignore[arg-type]
+                         self.counters, lambda event, **fields: self.logged_events.append(event))
 
     def session(self, trace: TraceFile, name: str) -> None:
         session = Session(Job(name, "search", 1005 * SECOND), None)  # type: ignore[arg-type]
@@ -66,7 +66,7 @@
         trace.ended(dispatch, api.Status.OK, api.LoadReport(free_slots=2.0))
         trace.answered(session, Answer(Verdict.SERVED))
 
-    def test_what_is_written_is_read_back(self) -> None:
+    def test_a_written_trace_is_read_back(self) -> None:
         trace = self.trace()
         trace.settled(api.Settings((api.RequestClass("search", 1, 1, kind="k"),), cold_us=9_000_000))
         trace.listed(api.RosterUpdate(api.RosterMode.COMPLETE, (
@@ -86,48 +86,48 @@
         self.assertIsNotNone(view.since("s2", State.GONE, 1000 * SECOND))
         self.assertIsNotNone(view.since("s1", State.MAINTENANCE, 1000 * SECOND))
 
-    def test_a_full_queue_drops_and_counts_and_writes_a_few_a_turn(self) -> None:
-        trace = self.trace(most_waiting=40)
+    def test_a_full_queue_drops_and_counts_and_a_turn_writes_one_batch(self) -> None:
+        trace = self.trace(max_queued_spans=40)
         for n in range(100):
             self.session(trace, f"j{n}")
         self.assertEqual(self.counters["trace_dropped"], 160)
-        self.assertEqual(self.path.read_bytes(), b"")  # nothing is written while jobs are led
+        self.assertEqual(self.path.read_bytes(), b"")  # nothing is written while requests are handled
         self.loop.calls.pop()()
         self.assertEqual(len(self.path.read_text().splitlines()), module.SPANS_PER_WRITE)
-        self.assertEqual(len(self.loop.calls), 1)  # and the next turn goes on
+        self.assertEqual(len(self.loop.calls), 1)  # the next batch is scheduled
         trace.close()
         _, dropped = read_history(self.path)
         self.assertEqual((dropped, self.counters["trace_spans"]), (160, 41))
 
-    def test_a_full_file_stays_within_its_bound_and_says_so_once(self) -> None:
-        trace = self.trace(most_bytes=20_000)
+    def test_a_full_file_stays_within_its_bound_and_is_logged_once(self) -> None:
+        trace = self.trace(max_bytes=20_000)
         for n in range(40):
             self.session(trace, f"j{n}")
             while self.loop.calls:
                 self.loop.calls.pop()()
         self.assertLessEqual(self.path.stat().st_size, 20_000)
         self.assertGreater(self.counters["trace_dropped"], 10)
-        self.assertEqual(len(self.lines), 1)
+        self.assertEqual(len(self.logged_events), 1)
         trace.close()
-        again = self.trace(most_bytes=20_000)  # what stands in the file counts at the next start
+        again = self.trace(max_bytes=20_000)  # the existing size of the file counts at the next start
         self.session(again, "late")
         again.close()
         self.assertLessEqual(self.path.stat().st_size, 20_000)
 
-    def test_a_disk_that_fails_holds_nobody_up(self) -> None:
+    def test_a_failing_disk_delays_no_request(self) -> None:
         trace = self.trace()
         self.session(trace, "a")
-        with patch.object(trace, "_file", Full()):
+        with patch.object(trace, "_file", FullDisk()):
             self.loop.calls.pop()()
         self.assertEqual((self.counters["trace_errors"], self.counters["trace_dropped"]), (1, 2))
 
-    def test_a_trace_that_is_none_is_located(self) -> None:
-        for text, place in (("{", "trace.jsonl"), ("[]", ":1"), ('{"name": "session"}', ":1"),
+    def test_an_invalid_trace_is_reported_with_file_and_line(self) -> None:
+        for text, location in (("{", "trace.jsonl"), ("[]", ":1"), ('{"name": "session"}', ":1"),
                             ('\n{"name": "server", "attributes": {}, "start_time": "noon"}', ":2")):
             self.path.write_text(text)
             with self.assertRaises(TraceError) as caught:
                 read_history(self.path)
-            self.assertIn(place, str(caught.exception))
+            self.assertIn(location, str(caught.exception))
         with self.assertRaises(TraceError):
             read_history(self.path.with_name("nowhere"))
         self.path.write_text("")
@@ -141,8 +141,8 @@
             self.assertIn("fleet.jsonl:1", str(caught.exception))
 
 
-class Traced(EdgeCase):
-    def test_a_node_writes_its_sessions_and_a_bad_place_is_named(self) -> None:
+class TracedNode(EdgeCase):
+    def test_a_node_writes_its_requests_and_an_invalid_path_is_named(self) -> None:
         node = self.node(self.worker("s1"), edge='trace {\n file "spans.jsonl"\n}\n')
         for n in range(5):
             node.post(f"t{n}")
@@ -155,21 +155,21 @@
         self.assertEqual((names["session"], names["dispatch"], names["settings"]), (5, 5, 1))
         parents = {row["context"]["span_id"] for row in rows if row["name"] == "session"}
         self.assertEqual({row["parent_id"] for row in rows if row["name"] == "dispatch"}, parents)
-        bad = self.node(wait=False, edge='trace {\n file "no/such/folder/x"\n}\n')
-        self.assertEqual(bad.process.wait(20), 2)
-        self.assertIn("trace > file", bad.close())
+        refused = self.node(wait=False, edge='trace {\n file "no/such/folder/x"\n}\n')
+        self.assertEqual(refused.process.wait(20), 2)
+        self.assertIn("trace > file", refused.close())
 
 
-class Words(unittest.TestCase):
-    """What a state means, at its edges."""
+class StatesOfAView(unittest.TestCase):
+    """The limits of when a state applies."""
 
-    def test_a_state_holds_from_the_moment_it_is_told(self) -> None:
+    def test_a_state_applies_from_the_time_it_is_listed(self) -> None:
         plan = _plan(read_edge(ROOT / "deploy/edge.kdl"), None)
         history = play(World("full-search", event="drain", target="all", lag=200, arrivals=8), plan)
         view = View(history)
-        told = {s.server: s.at for s in history.sights if s.state is State.DRAINING}
-        self.assertEqual(len(told), 6)
-        for server, at in told.items():
+        listed_at = {s.server: s.at for s in history.sights if s.state is State.DRAINING}
+        self.assertEqual(len(listed_at), 6)
+        for server, at in listed_at.items():
             own = view.since(server, State.DRAINING, at, own=True)
             self.assertIsNone(view.since(server, State.DRAINING, at - timedelta(microseconds=1)))
             self.assertEqual(view.since(server, State.DRAINING, at + SECOND), at)
@@ -178,7 +178,7 @@
             self.assertEqual(view.lag(server, at), timedelta(milliseconds=200))
             self.assertFalse(view.has_room(server, at))
 
-    def test_silence_is_a_second_without_a_word(self) -> None:
+    def test_silent_is_one_second_without_a_message(self) -> None:
         plan = _plan(read_edge(ROOT / "deploy/edge.kdl"), None)
         history = play(World("full-search", event="silent", target="all", at=60, arrivals=6), plan)
         view, found = View(history), 0
