--- a/arrowfold/program/edge.py
+++ b/arrowfold/program/edge.py
@@ -72,8 +72,8 @@
         raise DocumentError(f"{path}: the deployment's file is a KDL document now, such as deploy/edge.kdl")
     root = read_document(path)
     root.validate(("faktory", "descriptions", "trace", "routes", "quotas", "repeats", "expectations",
-                "check", "log"),
-               repeated=("region",))
+                   "check", "log"),
+                  repeated=("region",))
     descriptions = root.child("descriptions")
     regions = _read_regions(root)
     return EdgeDocument(
--- a/arrowfold/program/edge_quotas.py
+++ b/arrowfold/program/edge_quotas.py
@@ -16,7 +16,7 @@
     if node is None:
         return None
     node.validate(("nobody", "default", "payback", "stretch", "cautious", "most-levels"),
-                repeated=("organisation", "network"))
+                  repeated=("organisation", "network"))
     nobody, payback, stretch, cautious, max_levels = (node.child(name) for name in (
         "nobody", "payback", "stretch", "cautious", "most-levels"))
     return Tree(
--- a/arrowfold/program/log.py
+++ b/arrowfold/program/log.py
@@ -1,8 +1,8 @@
 """The log: events with fields on standard error, with a rate limit for each event name.
 
-With a deployment's document, structlog renders the events as key=value pairs or, if the document says so, as
-JSON lines. Without one structlog is not imported, because it would add 5 MB of memory to 21 MB and 29 ms of
-start time to 49 ms; a plain writer prints the same events and fields.
+With a deployment's document, structlog renders the events as key=value pairs or, if the document selects it,
+as JSON lines. Without one structlog is not imported, because it would add 5 MB of memory to 21 MB and 29 ms
+of start time to 49 ms; a plain writer prints the same events and fields.
 """
 
 from __future__ import annotations
--- a/arrowfold/program/node.py
+++ b/arrowfold/program/node.py
@@ -227,7 +227,12 @@
                 self.log("succession_bad_charge", error=str(error))
 
     def _on_links_changed(self) -> None:
-        """Halves the descriptor budget while two processes of the node run, and forwards quota charges."""
+        """Adapts to another process of this node that has connected, started to serve or ended.
+
+        While two processes run, each uses half of the descriptors and forwards its quota charges. Once a
+        successor serves, a draining process stops accepting; a process whose successor ended publishes its
+        socket again.
+        """
         self._set_charge_forwarding()
         descriptor_limit = self.config.sockets - RESERVED_DESCRIPTORS
         if self.succession.links:
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -102,7 +102,7 @@
             file.write(json.dumps({"at": time.time(), "server": worker.uid, "state": state}) + "\n")
 
     def submit(self, node: Node, start: str, count: int, name: str = "search", expires: str = "6000m",
-             pause: float = 0.0, **headers: str) -> list[int]:
+               pause: float = 0.0, **headers: str) -> list[int]:
         answered = []
         for n in range(count):
             answered.append(node.post(f"{start}-{n}", name, expires=expires, **headers)[0])
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -64,7 +64,7 @@
         self.assertTrue(old.asked.empty())
         self.assertEqual(node.counters()["discovery_calls"], 2)
 
-    def test_a_new_discovery_address_that_fails_can_be_replaced(self) -> None:
+    def test_a_new_discovery_address_that_fails_is_retried(self) -> None:
         one, two = self.worker("s1"), self.worker("s2")
         old, new_discovery = self.discovery(one), self.discovery(two)
         gone = self.worker("gone")
