--- a/arrowfold/expectations/__init__.py
+++ b/arrowfold/expectations/__init__.py
@@ -1,1 +1,1 @@
-"""Expectations of routing: what is promised, judged over worlds and over traffic. No I/O."""
+"""Routing expectations: claims about routing, evaluated over simulated worlds and over traces. No I/O."""
--- a/arrowfold/expectations/check.py
+++ b/arrowfold/expectations/check.py
@@ -1,4 +1,4 @@
-"""The check: plays worlds against the expectations, and says what breaks one, as small as it can be made."""
+"""Simulates worlds, evaluates the expectations over them, and minimizes a world that breaks one."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 from arrowfold.expectations.worlds import TARGETS, Plan, World, play
 from arrowfold.routes.table import holds
 
-STEP = 50  # ms: how exactly the border of a lag is found
-DENSE_GAP = 20  # ms between arrivals while it is looked for
-FEW = 40  # worlds that stand for all when a setting's part in a verdict is looked for
+STEP = 50  # resolution of the search for the least breaking lag
+DENSE_GAP = 20  # interval between arrivals during that search
+FEW = 40  # number of worlds simulated to find the settings that make an expectation vacuous
 
 
 class Check:
-    """One document, checked against a plan."""
+    """Checks the expectations of one document against a plan.
+
+    `played` counts the simulated worlds.
+    """
 
     def __init__(self, plan: Plan, expectations: Sequence[Expectation], seed: int = 1) -> None:
         self.plan, self.expectations, self.seed = plan, expectations, seed
@@ -29,9 +32,10 @@
         self.played = 0
 
     def run(self, explain: bool = True, only: Collection[str] = ()) -> list[Report]:
-        """A report for each expectation, or for those named alone, in their order.
+        """Returns a report for each expectation, or only for those named in `only`, in document order.
 
-        With `explain`, why one does not hold. The worlds are those of the whole document in either case.
+        With `explain`, a report also names the cause of a failure. The worlds are always sampled from the
+        whole document, so a restriction by `only` does not change them.
         """
         chosen = [e for e in self.expectations if not only or e.name in only]
         worlds = [world for world in self.worlds()
@@ -60,7 +64,7 @@
         return reports
 
     def replay(self, world: World) -> Iterator[str]:
-        """One world told step by step, with what it breaks."""
+        """Yields the events of one world in order of time, then the expectations that it breaks."""
         history = play(world, self.plan)
         yield world.words()
         rows = [(s.at, f"told: {s.server} ({s.zone}, {s.kind}) is {s.state.value}") for s in history.sights]
@@ -82,7 +86,7 @@
                 yield f"breaks {expectation.name!r}: {finding.text}"
 
     def worlds(self) -> list[World]:
-        """The worlds that are played."""
+        """Returns the sampled worlds."""
         return sample_worlds(self.plan, self.expectations, self.seed)
 
     def _tallies(
@@ -90,14 +94,14 @@
         self.played += 1
         return judge_all(play(world, plan), expectations, self.regions)
 
-    # --- why it fails ------------------------------------------------------------------------------------
+    # --- explanation -------------------------------------------------------------------------------------
 
     def _breaks(self, expectation: Expectation, world: World, plan: Plan) -> Finding | None:
         (tally,) = self._tallies(world, plan, [expectation])
         return tally.bad[0] if _broken(expectation, tally) else None
 
     def _explain(self, expectation: Expectation, report: Report, bad: Sequence[World]) -> None:
-        """The smallest world that breaks it, the border of the lag, and the settings that it takes."""
+        """Adds the minimal breaking world, the least breaking lag and the settings involved to a report."""
         quiet = [world for world in bad if not world.lag]
         world = self._smallest(expectation, (quiet or bad)[0])
         finding = self._breaks(expectation, world, self.plan)
@@ -111,7 +115,7 @@
             world = report.world
         settings = [s for s in settings_of(self.plan) if s.path != expectation.path]
         plan, left = self.plan, settings
-        for setting in settings:  # without whatever it breaks without as well
+        for setting in settings:  # drop each setting that the failure does not need
             fewer = setting.without(plan)
             if self._breaks(expectation, world, fewer) is not None:
                 plan, left = fewer, [s for s in left if s is not setting]
@@ -120,7 +124,7 @@
             report.between.append(expectation.path)
 
     def _smallest(self, expectation: Expectation, world: World) -> World:
-        """Simpler one step at a time, as long as it still breaks."""
+        """Simplifies a world one field at a time while it still breaks the expectation."""
         steps: list[dict[str, Any]] = [{"arrivals": n} for n in (1, 2, 3, 4, 6, 8, 10, 12, 16, 20, 30)]
         steps += [{"event": "none", "lag": 0, "target": "one"}, {"ending": "served"}, {"load": "idle"},
                   {"lag": 0}, {"servers": 1}, {"target": "one"}, {"at": 0}, {"tenant": None}, {"key": None},
@@ -137,12 +141,16 @@
         return world
 
     def _find_border(self, expectation: Expectation, report: Report) -> None:
-        """The least lag that breaks it, to STEP; arrivals come close together, so that none slips by."""
+        """Finds the least lag that breaks the expectation, to the resolution of the search.
+
+        Arrivals are dense, so that some request falls into the interval in which the list is out of date.
+        """
         assert report.world is not None
         span = report.world.lag + 1500
         base = replace(report.world, gap=DENSE_GAP, arrivals=min(1000, span // DENSE_GAP))
         plain = replace(base, load="idle", ending="served")
-        # Befalls it all, each job shows it at once; but then what it takes to break it may be missing.
+        # An event that affects all servers shows in each request at once, but it may remove a condition that
+        # the failure needs: narrower targets are therefore searched as well.
         for dense in dict.fromkeys((base, *(replace(plain, target=target) for target in TARGETS))):
             if self._breaks(expectation, dense, self.plan) is None \
                     or self._breaks(expectation, replace(dense, lag=0), self.plan) is not None:
@@ -154,7 +162,10 @@
         report.broke = finding.text if finding is not None else report.broke
 
     def _least_lag(self, expectation: Expectation, world: World) -> int:
-        """It holds with no lag and breaks with the world's: the border between, in milliseconds."""
+        """Returns the least lag in milliseconds that breaks the expectation, by bisection.
+
+        The expectation must hold without a lag and break at the lag of `world`.
+        """
         low, high = 0, world.lag
         while high - low > STEP:
             middle = max((low + high) // 2 // STEP * STEP, low + STEP)
@@ -165,7 +176,7 @@
         return high
 
     def _explain_vacuous(self, expectation: Expectation, report: Report, worlds: Sequence[World]) -> None:
-        """The settings without which it would apply."""
+        """Adds the settings without which a vacuous expectation would apply."""
         about = [w for w in worlds if holds(expectation.when.match, w.subject())][:FEW]
 
         def vacuous(plan: Plan) -> bool:
@@ -182,12 +193,12 @@
             report.between.append(expectation.path)
 
     def _opponents(self, expectation: Expectation) -> list[str]:
-        """Other expectations that no routing can satisfy together with this one."""
+        """Returns the paths of expectations that no routing can satisfy together with this one."""
         subjects = sample_subjects(self.plan, self.expectations)
         return [other.path for other in self.expectations
                 if other is not expectation and contradict(expectation, other, self.plan, subjects)]
 
 
 def _broken(expectation: Expectation, tally: Tally) -> bool:
-    """Whether a world breaks an expectation; where a share is owed, by too low a share in this world."""
+    """Whether a world breaks an expectation: its share of good findings is below the required share."""
     return bool(tally.bad) and tally.good / tally.applied < share_owed(expectation.claim)
--- a/arrowfold/expectations/claims.py
+++ b/arrowfold/expectations/claims.py
@@ -1,4 +1,4 @@
-"""Claims: what an expectation says of the sessions that it is about, and how a history is held to it."""
+"""Claims: the conditions that an expectation puts on sessions, and their evaluation over a history."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from arrowfold.expectations.history import ZERO, Attempt, Life, State, View
 
-SOON = timedelta(milliseconds=50)
-Regions = Mapping[str, frozenset[str]]  # a region's zones
+SOON = timedelta(milliseconds=50)  # free capacity must last this long to count
+Regions = Mapping[str, frozenset[str]]  # zones by region
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that a claim spoke of."""
+    """Result of one evaluation of a claim; `text` describes the violation, empty if there is none."""
 
     ok: bool
     at: timedelta
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Backend servers by state, region or kind; the parts that are given must all hold."""
+    """Selects backend servers by state, region and kind; all given conditions must hold."""
 
     state: State | None = None
     region: str | None = None
     kind: str | None = None
-    after: timedelta = ZERO  # only once the state has lasted longer
-    own: bool = False  # the state counts from what the server did, not from what the node was told
+    after: timedelta = ZERO  # matches only after the state has lasted longer than this
+    own: bool = False  # count the state from the server's own event instead of the node's list
 
     def holds(self, view: View, regions: Regions, server: str, at: timedelta) -> str | None:
-        """Why the server is one of these at a moment; None if it is not."""
+        """Returns a description of how the server matches at a given time, or None if it does not match."""
         sight = view.sight(server, at)
         zone, kind = (sight.zone, sight.kind) if sight is not None else ("", "")
         if self.region is not None and zone not in regions[self.region]:
@@ -49,25 +49,25 @@
         return f"in {zone or 'no zone'}, {self.state.value} {whose} for {seconds(at - since)}"
 
     def at_hand(self, view: View, at: timedelta) -> bool:
-        """Whether some server is in the state now: else not going there says nothing."""
+        """Whether any server is in the state; otherwise avoiding such servers is no evidence for the claim."""
         return self.state is None or view.any_is(self.state, at, self.own)
 
     def could_hold(self, regions: Regions, zone: str, kind: str) -> bool:
-        """Whether a server of this zone and kind can be one of these at all."""
+        """Whether a server of this zone and kind can match, in whatever state."""
         return (self.region is None or zone in regions[self.region]) and self.kind in (None, kind)
 
 
 class Claim(Protocol):
-    """What is claimed of one session; `attempts` are those that the expectation is about."""
+    """A condition on one session; `attempts` are those selected by the expectation's `When`."""
 
     def judge(
             self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
-        """What this session says for or against it; nothing where the claim does not apply."""
+        """Yields a finding for each evaluation; none if the claim does not apply to this session."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reaches:
-    """Attempts go only to servers of a target, or never to one."""
+    """Attempts go only to servers that match a target or, with `never`, to none of them."""
 
     target: Target
     never: bool
@@ -86,9 +86,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Prefers:
-    """While a region of the list has room, the first attempts go to the first such region.
+    """First attempts go to the first region in `order` that has free capacity.
 
-    `share` of them must; the rest allows for figures that run behind.
+    At least `share` of them must; the rest allows for load reports that are out of date.
     """
 
     order: tuple[str, ...]
@@ -102,7 +102,7 @@
             if owed is None or attempt.number:
                 continue
             sight = view.sight(attempt.server, attempt.sent)
-            before = self.order[:self.order.index(owed) + 1]  # an earlier one that took it after all will do
+            before = self.order[:self.order.index(owed) + 1]  # an earlier region that accepted it is fine too
             ok = sight is not None and any(sight.zone in regions[name] for name in before)
             yield Finding(ok, attempt.sent, "" if ok else
                           f"{_sent(life, attempt)}, {_where(view, attempt)}, while {owed} had room")
@@ -112,7 +112,8 @@
 class GoesOver:
     """First attempts leave a region only when all its servers are in a state: full, draining, gone, …
 
-    `share` of those that leave it must have cause; the rest allows for figures that run behind.
+    At least `share` of the attempts outside the region must meet this; the rest allows for load reports
+    that are out of date.
     """
 
     region: str
@@ -133,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AtMostAttempts:
-    """A session is dispatched at most so often."""
+    """A session has at most `most` attempts."""
 
     most: int
 
@@ -147,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRepeated:
-    """Once an attempt may have run, no other is begun."""
+    """No attempt starts once an earlier one may have run."""
 
     def judge(
             self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
@@ -161,10 +162,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Repeated:
-    """A session whose first attempt was not served, or is silent, is sent again, given time and room."""
+    """A session whose first attempt was not served, or is not answered, is retried within `within`.
+
+    Applies only if the deadline allows it and some server has free capacity.
+    """
 
     within: timedelta
-    of_silence: bool = False  # counted from an attempt that has not even been told to have started
+    of_silence: bool = False  # counted from the sending of an attempt that is not known to have started
 
     def judge(
             self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
@@ -176,7 +180,7 @@
             return
         until = since + self.within
         if not (view.any_room(since) and view.any_room(since + SOON)):
-            return  # nowhere to go, or not for long
+            return  # no server had free capacity for long enough
         again = any(a.sent <= until for a in life.attempts[1:])
         status = first.status.name.lower() if first.status is not None else "out"
         how = "was silent" if self.of_silence else f"ended {status}"
@@ -185,7 +189,7 @@
                       f"followed within {seconds(self.within)}")
 
     def _since(self, first: Attempt) -> timedelta | None:
-        """When it was clear that another is needed; None if it never was."""
+        """Returns the time at which a retry became necessary, or None."""
         if self.of_silence:
             given_up = first.status is not None and first.status.name in ("CANCELLED", "TIMEOUT")
             words = [t for t in (first.started, None if given_up else first.ended) if t is not None]
@@ -197,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OneCopy:
-    """Never two attempts of a session out at once."""
+    """A session never has two outstanding attempts."""
 
     def judge(
             self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
@@ -210,7 +214,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """The session is denied unsent, with or without advice on when to come back."""
+    """The session is denied without an attempt, optionally with a retry-after between two bounds.
+
+    `advice` is whether a retry-after must be present; None accepts both.
+    """
 
     advice: bool | None = None
     at_least: timedelta | None = None
@@ -236,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """One final answer within so long of an event, and of that kind where one is named."""
+    """The session is answered within `within` of an event, with `verdict` if it is given."""
 
     within: timedelta
     of: str  # arrival, deadline, start, end
@@ -269,8 +276,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The session is served, if from its arrival to its answer some server, of a region where one is named,
-    had room, and no attempt of it failed."""
+    """The session is served if some server had free capacity from its arrival to its answer.
+
+    Only servers of `region` count if it is given. Does not apply to a session with an attempt that
+    failed; a refusal by a full server is no failure.
+    """
 
     region: str | None = None
 
@@ -291,7 +301,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AtMostAt:
-    """In any time so long, one server in that state is reached at most so often, by all sessions together."""
+    """A server that matches the target gets at most `most` attempts of all sessions in any period `per`."""
 
     most: int
     per: timedelta
@@ -306,7 +316,7 @@
                 yield Finding(True, attempt.sent)
                 continue
             begin = attempt.sent - self.per
-            if self.target.state is not None:  # what it got before it came into the state does not count
+            if self.target.state is not None:  # attempts before the server entered the state do not count
                 since = view.since(attempt.server, self.target.state, attempt.sent, self.target.own)
                 begin = max(begin, since) if since is not None else begin
             count = view.sent_between(attempt.server, begin, attempt.sent)
@@ -315,6 +325,7 @@
 
 
 def seconds(span: timedelta) -> str:
+    """Formats a time span in seconds with three decimals."""
     return f"{span.total_seconds():.3f} s"
 
 
@@ -328,5 +339,5 @@
 
 
 def _may_run_at(attempt: Attempt, at: timedelta) -> bool:
-    """Whether an attempt, as far as it was known at a moment, may have run."""
+    """Whether an attempt may have run, as far as the node knew at a given time."""
     return attempt.ended is None or attempt.ended > at or attempt.may_have_run
--- a/arrowfold/expectations/contradictions.py
+++ b/arrowfold/expectations/contradictions.py
@@ -1,4 +1,4 @@
-"""Contradictions between two expectations: no routing can satisfy both."""
+"""Detects pairs of expectations that no routing can satisfy together."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 def contradict(
         one: Expectation, two: Expectation, plan: Plan, subjects: Sequence[Subject]) -> bool:
-    """Whether both speak of some job, each can be met, and no server, nor a denial, meets both.
+    """Whether some request is subject to both expectations, and no outcome that satisfies both exists.
 
-    Only claims that say where a job may go, or that it is denied, are held against each other.
+    Each expectation must be satisfiable on its own. Only claims that restrict the servers of a request, or
+    that require its denial, are compared.
     """
     if one.when.of_attempts or two.when.of_attempts:
         return False
@@ -23,13 +24,13 @@
     if a is None or b is None or not a or not b or a & b:
         return False
     of_one, of_two = ({s for s in subjects if holds(e.when.match, s)} for e in (one, two))
-    if "denied" in a or "denied" in b:  # a denial of some of its jobs leaves the other its promise
+    if "denied" in a or "denied" in b:  # denying only a part of its requests leaves the other satisfiable
         return bool(of_one and of_two) and (of_two <= of_one if "denied" in a else of_one <= of_two)
     return bool(of_one & of_two)
 
 
 def _outcomes(expectation: Expectation, plan: Plan) -> frozenset[object] | None:
-    """What may become of a job under this expectation: servers by zone and kind, or a denial."""
+    """Returns the permitted outcomes of a request: servers by zone and kind, or denial; None: not limited."""
     claim, regions = expectation.claim, plan.routes.regions
     everywhere: frozenset[object] = frozenset(plan.fleet)
     if isinstance(claim, Denied):
--- a/arrowfold/expectations/history.py
+++ b/arrowfold/expectations/history.py
@@ -1,7 +1,7 @@
-"""What happened at one node: what it was told of servers, its sessions, and what the servers did themselves.
+"""Events of one node: the server list that it received, its sessions, and state changes of the servers.
 
-A history comes from a world that `check` plays or from a trace of real traffic; both are judged by the same
-code. `View` answers what state a server was in at a moment, as the node could know it.
+A history is recorded in a world simulated by `check` or read from a trace of real traffic; both are evaluated
+by the same code. `View` looks up the state of a server at a given time, as far as the node could know it.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 ZERO = timedelta(0)
 MICROSECOND = timedelta(microseconds=1)
-FULL_FOR = timedelta(seconds=1)  # a server is held to be full this long after it has said so
-FAILED_FOR = timedelta(seconds=4)  # who has failed is passed over for a while, and rightly
-SILENT_AFTER = timedelta(seconds=1)  # and silent once it has held an attempt this long without a word
+FULL_FOR = timedelta(seconds=1)  # time for which a load report is trusted
+FAILED_FOR = timedelta(seconds=4)  # time for which the node may avoid a server after a failure
+SILENT_AFTER = timedelta(seconds=1)  # a server that leaves an attempt unanswered for this long is silent
 
 
 class State(Enum):
-    """What a backend server may be in; more than one may hold at once."""
+    """States of a backend server; several may apply at once."""
 
     IN_SERVICE = "in-service"
     DRAINING = "draining"
@@ -41,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Sight:
-    """What the node was told of a server, and when."""
+    """State of a server in the list that the node received, and the time of receipt."""
 
     at: timedelta
     server: str
     zone: str
     kind: str
     state: State  # in service, draining or gone
-    launched: timedelta | None = None  # None: long ago
+    launched: timedelta | None = None  # None: unknown or long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Own:
-    """What a server did itself, whenever the node learned of it."""
+    """A state change at the server itself, regardless of when the node learned of it."""
 
     at: timedelta
     server: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """An operator's call: a server is out for maintenance from now on, or back."""
+    """An operator's command that takes a server out for maintenance, or returns it to service."""
 
     at: timedelta
     server: str
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a server answered to a probe: its free slots."""
+    """A load report: free slots of a server, None if it did not report any."""
 
     at: timedelta
     server: str
@@ -80,24 +80,25 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One dispatch."""
+    """One try of a session at one server."""
 
     number: int
     server: str
     sent: timedelta
-    started: timedelta | None = None  # told start
+    started: timedelta | None = None  # time at which the node learned of its start
     ended: timedelta | None = None
     status: api.Status | None = None
-    free: float | None = None  # free slots by the report that came with the outcome
+    free: float | None = None  # free slots in the load report that came with the outcome
 
     @property
     def may_have_run(self) -> bool:
+        """Whether the server may have run the request."""
         return self.status is None or not self.status.never_ran
 
 
 @dataclass(slots=True)
 class Life:
-    """One session."""
+    """One session: a request from its arrival to its answer, with its attempts."""
 
     id: str
     subject: Subject
@@ -112,19 +113,19 @@
 
 @dataclass(slots=True)
 class History:
-    """All of it, in the order of time."""
+    """All recorded events of a node, each list in order of time."""
 
-    cold: timedelta = ZERO  # how long a server is cold after its start
+    cold: timedelta = ZERO  # time for which a server is cold after its start
     sights: list[Sight] = field(default_factory=list)
     own: list[Own] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
-    reports: list[Report] = field(default_factory=list)  # those of probes
+    reports: list[Report] = field(default_factory=list)  # answers to probes only
     lives: list[Life] = field(default_factory=list)
-    until: timedelta = ZERO
+    until: timedelta = ZERO  # end of the recording
 
 
 class View:
-    """A history with its look-ups."""
+    """Indexes a history for look-ups by server and time."""
 
     def __init__(self, history: History) -> None:
         self.history = history
@@ -161,15 +162,15 @@
     # --- one server --------------------------------------------------------------------------------------
 
     def sight(self, server: str, at: timedelta) -> Sight | None:
-        """What the node had last been told of a server."""
+        """Returns the last listed state of a server at a given time, or None if it was never listed."""
         rows = self._sights.get(server, [])
         number = bisect_right(rows, at, key=_at)
         return rows[number - 1] if number else None
 
     def since(self, server: str, state: State, at: timedelta, own: bool = False) -> timedelta | None:
-        """Since when a server has been in this state; None if it is not.
+        """Returns the time since which a server has been in a state, or None if it is not.
 
-        As the node was told, or with `own` as the server did it, which may be earlier.
+        Counts from the node's knowledge or, with `own`, from the server's own event, which may be earlier.
         """
         if own:
             return _run(self._own.get(server, []), state, at)
@@ -179,7 +180,7 @@
             sight = self.sight(server, at)
             if sight is None or sight.launched is None or at >= sight.launched + self.history.cold:
                 return None
-            # The node can know of a start only once it was told.
+            # The node can know of a start only from the first list that holds it.
             return next(s.at for s in self._sights[server] if s.launched == sight.launched)
         if state is State.SILENT:
             return self._silent_since(server, at)
@@ -190,7 +191,7 @@
         return _run(self._sights.get(server, []), state, at)
 
     def lag(self, server: str, at: timedelta) -> timedelta:
-        """How far the list ran behind what this server last did itself; zero if that is not known."""
+        """Returns the delay from the server's last own event to its listing; zero if no event is known."""
         rows = self._own.get(server, [])
         number = bisect_right(rows, at, key=_at)
         if not number:
@@ -201,7 +202,7 @@
         return (told.at if told is not None else self.history.until) - own.at
 
     def _out_since(self, server: str, at: timedelta) -> timedelta | None:
-        """Since when an operator has had it out; called out twice, it is out since the first time."""
+        """Returns the time since which a server is in maintenance; a repeated command changes nothing."""
         since = None
         for call in self.history.calls:
             if call.server == server and call.at <= at:
@@ -227,27 +228,28 @@
             return None
         return sent[first].sent + SILENT_AFTER
 
-    # --- several -----------------------------------------------------------------------------------------
+    # --- several servers ---------------------------------------------------------------------------------
 
     def servers(self) -> Collection[str]:
+        """Returns the names of all servers ever listed."""
         return self._sights.keys()
 
     def any_is(self, state: State, at: timedelta, own: bool = False) -> bool:
-        """Whether any server is in a state at a moment."""
+        """Whether any server is in a state at a given time."""
         return any(self.since(server, state, at, own) is not None for server in self._sights)
 
     def any_room(self, at: timedelta, zones: Collection[str] | None = None) -> bool:
-        """Whether some server, of these zones where they are named, surely has room."""
+        """Whether some server, in `zones` if given, certainly has free capacity."""
         if zones is None:
             return any(self.has_room(server, at) for server in self._sights)
         return not self.region_is(zones, State.FULL, at)
 
     def has_room(self, server: str, at: timedelta) -> bool:
-        """Whether a server would surely do, as the node could know: in service, warm, not silent, not full.
+        """Whether a server certainly has free capacity, as far as the node could know.
 
-        It has not failed lately, and by a report that is no older than FULL_FOR, less what was sent there
-        since, more than one slot is free: other nodes send there too, and the last slot may have gone. Who
-        has not reported has no sure room.
+        It must be in service, neither cold, silent nor full, and without a recent failure. By a load report
+        no older than FULL_FOR, less the attempts sent since, more than one slot must be free: other nodes
+        send there too and may have taken the last one. A server without a report does not qualify.
         """
         if any(self.since(server, state, at) is not None for state in (State.COLD, State.SILENT, State.FULL)):
             return False
@@ -261,13 +263,16 @@
         return word.free - self.sent_between(server, word.at - MICROSECOND, at - MICROSECOND) > 1
 
     def sent_between(self, server: str, after: timedelta, until: timedelta) -> int:
-        """How many attempts went to a server after one moment and up to another."""
+        """Returns the number of attempts sent to a server later than `after` and no later than `until`."""
         sent = self._sent.get(server, [])
         first, last = (bisect_right(sent, at, key=lambda a: a.sent) for at in (after, until))
         return last - first
 
     def region_is(self, zones: Collection[str], state: State, at: timedelta) -> bool:
-        """Whether no server of these zones may serve for that reason: full (or worse), or none in service."""
+        """Whether all servers of these zones are in a state.
+
+        FULL also includes servers that cannot take requests for other reasons.
+        """
         here = [s for s in self.servers() if (sight := self.sight(s, at)) is not None and sight.zone in zones]
         if state is State.FULL:
             return not any(self.has_room(server, at) for server in here)
@@ -279,7 +284,7 @@
 
 
 def _run(rows: list[Sight] | list[Own], state: State, at: timedelta) -> timedelta | None:
-    """Since when the last rows up to a moment have been of one state."""
+    """Returns the start of the unbroken run of rows in a state that ends at a given time, or None."""
     number = bisect_right(rows, at, key=_at)
     if not number or rows[number - 1].state is not state:
         return None
@@ -294,7 +299,11 @@
 
 
 def sights_of(at: timedelta, update: api.RosterUpdate, known: dict[str, Sight]) -> Iterable[Sight]:
-    """What one update of the list says, as sights; `known` holds the last of each server and is kept."""
+    """Yields the listed states that follow from one update of the worker list.
+
+    `known` holds the last listed state of each server and is updated in place. A server that is missing from
+    a complete list is yielded as gone.
+    """
     if update.mode is api.RosterMode.ERROR:
         return
     listed = set()
--- a/arrowfold/expectations/judgement.py
+++ b/arrowfold/expectations/judgement.py
@@ -1,4 +1,4 @@
-"""Expectations: what a claim is about, and how a history is held to all of them."""
+"""Expectations: a claim with the sessions that it covers, and the evaluation of all over a history."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class When:
-    """What an expectation is about: sessions as a rule matches them, attempts by that moment's states."""
+    """Selects sessions by a rule's match, and attempts by server states at the time of sending."""
 
     match: Match = field(default_factory=Match)
-    server: frozenset[State] = frozenset()  # the chosen server is in all of these
-    region: frozenset[State] = frozenset()  # its region is: every server of its zone
-    lag_under: timedelta | None = None  # the list runs behind by less
+    server: frozenset[State] = frozenset()  # the selected server is in all of these
+    region: frozenset[State] = frozenset()  # every server of its zone is in all of these
+    lag_under: timedelta | None = None  # the list lags behind the server's own events by less
 
     @property
     def of_attempts(self) -> bool:
+        """Whether any condition on attempts is set."""
         return bool(self.server or self.region or self.lag_under is not None)
 
     def attempts(self, view: View, life: Life) -> list[Attempt]:
+        """Returns the selected attempts of a session."""
         if not self.of_attempts:
             return life.attempts
         return [attempt for attempt in life.attempts if self._holds(view, attempt)]
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expectation:
-    """One promise: its name, where it stands in the document, what it is about, and its claim."""
+    """One expectation: its name, its path in the document, the sessions that it covers, and its claim."""
 
     name: str
     path: str
@@ -54,18 +56,19 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What one history says of one expectation."""
+    """Counts the findings of one expectation over one history."""
 
     good: int = 0
     bad: list[Finding] = field(default_factory=list)
 
     @property
     def applied(self) -> int:
+        """Number of all findings; zero if the expectation did not apply."""
         return self.good + len(self.bad)
 
 
 def judge(expectation: Expectation, view: View, regions: Regions) -> Tally:
-    """Hold a history to one expectation."""
+    """Evaluates one expectation over a history."""
     tally, when = Tally(), expectation.when
     for life in view.history.lives:
         if not holds(when.match, life.subject):
@@ -82,10 +85,11 @@
 
 
 def share_owed(claim: Claim) -> float:
-    """The part of findings that must be good; all, but where the claim says less."""
+    """Returns the share of findings that must be good: 1 unless the claim permits less."""
     return claim.share if isinstance(claim, Prefers | GoesOver) else 1.0
 
 
 def judge_all(history: History, expectations: Sequence[Expectation], regions: Regions) -> list[Tally]:
+    """Evaluates all expectations over a history, in their order."""
     view = View(history)
     return [judge(expectation, view, regions) for expectation in expectations]
--- a/arrowfold/expectations/memory_server.py
+++ b/arrowfold/expectations/memory_server.py
@@ -1,4 +1,4 @@
-"""Backend servers that exist in memory only."""
+"""Simulated backend servers."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from arrowfold.routing.session import Dispatch, Probe
 
 MS = timedelta(milliseconds=1)
-WIRE = 2 * MS  # one way to a server
-RUN = 120 * MS  # a job's run
+WIRE = 2 * MS  # one-way network delay to a server
+RUN = 120 * MS  # mean run time of a request
 SLOW_RUN = 3000 * MS
 SLOTS = 4
 
 
 class Surroundings(Protocol):
-    """What a server needs of the world at play."""
+    """The parts of a running simulation that a server uses."""
 
     clock: Clock
     world: World
@@ -29,14 +29,14 @@
 
 @dataclass(slots=True)
 class SimServer:
-    """A backend server in memory."""
+    """A simulated backend server; implements the server interface of the core."""
 
     stage: Surroundings
     name: str
     zone: str
     kind: str
     full: bool = False
-    busy: int = 0  # slots that others hold
+    busy: int = 0  # slots taken by requests of other nodes
     dead: bool = False
     silent: bool = False
     launched_us: int = 0
@@ -44,18 +44,21 @@
     running: list[Dispatch] = field(default_factory=list)
 
     def entry(self) -> api.RosterEntry:
+        """Returns its row in the worker list."""
         return api.RosterEntry(self.name, self.zone, self.kind, 0, self.launched_us, self.state)
 
     def load(self) -> api.LoadReport:
+        """Returns its load report."""
         free = 0 if self.full else max(0, SLOTS - self.busy - len(self.running))
         return api.LoadReport(free_slots=float(free), held=float(SLOTS - free))
 
     def send(self, dispatch: Dispatch) -> None:
+        """Sends an attempt; it arrives after the one-way delay."""
         dispatch.whole = True
         self.stage.clock.call_later(WIRE, lambda: self._take(dispatch))
 
     def _take(self, dispatch: Dispatch) -> None:
-        """Its last byte has come."""
+        """Handles an attempt whose last byte has arrived."""
         ending = self.stage.world.ending if not dispatch.number else "served"
         if dispatch.over or self.silent:
             return
@@ -78,6 +81,7 @@
                            b"", self.load())
 
     def probe(self, probe: Probe) -> None:
+        """Answers a probe after one round trip; a silent server never answers."""
         def answer() -> None:
             if self.dead:
                 probe.ended(api.Status.CONNECT_FAILED)
@@ -87,15 +91,16 @@
         self.stage.clock.call_later(2 * WIRE, answer)
 
     def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
+        """Stops an attempt or a probe."""
         if errand in self.running:
             self.running.remove(errand)  # type: ignore[arg-type]
-        return None  # a model's server has all of an attempt at once
+        return None  # the simulation delivers an attempt whole, so its status never depends on a partial send
 
     def rest(self) -> None:
-        pass
+        """Does nothing: there are no connections to close."""
 
     def kill(self) -> None:
-        """The process dies: what it had is reset."""
+        """Ends the process: attempts in progress are reset."""
         running, self.running = self.running, []
         for dispatch in running:
             if not dispatch.over:
--- a/arrowfold/expectations/plan_settings.py
+++ b/arrowfold/expectations/plan_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a plan, one by one, each with the plan that lacks it."""
+"""Lists the settings of a plan, each with a function that removes it from a plan."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One thing that is set: its path, and the plan without it."""
+    """One setting: its path in the document, and a function that returns a plan without it."""
 
     path: str
     without: Callable[[Plan], Plan]
 
 
 def settings_of(plan: Plan) -> list[Setting]:
-    """Everything set that may take part, each with the plan that lacks it."""
+    """Returns all settings that may contribute to a verdict."""
     found = [Setting(path_of(rule), _without_rule(rule.name)) for rule in plan.routes.rules]
     if plan.quotas is not None:
         found += [Setting(f'quotas > organisation "{name}"', _without_organisation(name))
@@ -39,7 +39,7 @@
         found.append(Setting("settings > permissions > sendCap", _with(attempt_cap=4)))
     if plan.settings.second_copies:
         found.append(Setting("settings > permissions > secondCopies", _with(second_copies=False)))
-    if cap > 1:  # last: with one attempt nothing is ever repeated
+    if cap > 1:  # last: with a single attempt nothing is retried, which would hide the other settings
         found.append(Setting("settings > permissions > sendCap", _with(attempt_cap=1)))
     return found
 
@@ -50,7 +50,7 @@
 
 
 def path_of(rule: Rule) -> str:
-    """The path of a rule's action in the document."""
+    """Returns the path of a rule's action in the document."""
     return f'routes > rule "{rule.name}" > {_action_name(rule)}'
 
 
--- a/arrowfold/expectations/recorder.py
+++ b/arrowfold/expectations/recorder.py
@@ -1,4 +1,4 @@
-"""Writes down what a core does, as a history for the claims."""
+"""Records the events of a core as a history."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class Recorder:
-    """Writes down what the core does as a history."""
+    """An observer of the core that appends each event to a history.
+
+    Times are those of the clock `now`.
+    """
 
     def __init__(self, now: Callable[[], timedelta], history: History) -> None:
         self.now, self.history = now, history
@@ -42,7 +45,7 @@
             dispatch.span.started = self.now()
 
     def ended(self, dispatch: Dispatch, status: api.Status, load: api.LoadReport | None) -> None:
-        if dispatch.span is not None:  # None: it never left the node
+        if dispatch.span is not None:  # None: it was never sent
             dispatch.span.ended, dispatch.span.status = self.now(), status
             dispatch.span.free = load.free_slots if load is not None else None
 
@@ -58,7 +61,7 @@
 
 
 class Silent:
-    """A client that takes its answer and says nothing."""
+    """A client that ignores its answer."""
 
     def answer(self, answer: Answer) -> None:
         del answer
--- a/arrowfold/expectations/reports.py
+++ b/arrowfold/expectations/reports.py
@@ -1,4 +1,4 @@
-"""What the check says of one expectation."""
+"""Reports of the check, as JSON rows and as text lines."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 @dataclass(slots=True)
 class Report:
-    """What the check says of one expectation."""
+    """Result of the check for one expectation."""
 
     name: str
     path: str
     verdict: str  # holds, fails, vacuous
-    worlds: int = 0  # in which it applied
+    worlds: int = 0  # number of worlds in which it applied
     good: int = 0
     bad: int = 0
-    share: float = 1.0  # of the findings that were good
-    border_ms: int | None = None  # holds while the list lags less than this
-    world: World | None = None  # the smallest that breaks it
-    broke: str = ""
-    routed_by: str = ""  # the path of the rule that held in that world
-    between: list[str] = field(default_factory=list)  # paths of the settings without which it would not
+    share: float = 1.0  # share of good findings
+    border_ms: int | None = None  # the expectation holds while the list lags less than this
+    world: World | None = None  # minimal world that breaks it
+    broke: str = ""  # text of the violation in that world
+    routed_by: str = ""  # path of the rule that applied in that world
+    between: list[str] = field(default_factory=list)  # paths of the settings that the failure depends on
 
     def as_row(self) -> dict[str, Any]:
-        """For `--json`."""
+        """Returns the row printed by `--json`."""
         row: dict[str, Any] = {
             "name": self.name, "path": self.path, "verdict": self.verdict, "worlds": self.worlds,
             "good": self.good, "bad": self.bad}
@@ -42,7 +42,7 @@
         return row
 
     def lines(self) -> Iterator[str]:
-        """For people."""
+        """Yields the lines of the text output."""
         if self.verdict == "holds":
             yield f"holds    {self.name}  (applied in {self.worlds} worlds, {self.good + self.bad} times)"
             return
--- a/arrowfold/expectations/sampling.py
+++ b/arrowfold/expectations/sampling.py
@@ -1,4 +1,4 @@
-"""Which worlds are played: every pair of what can happen, for every kind of job; and their fleet."""
+"""Samples the worlds to simulate, by pairwise coverage of all factors, and derives their fleet."""
 
 from __future__ import annotations
 
@@ -17,17 +17,20 @@
 from arrowfold.routes.rules import Match, Routes, Subject
 
 LAGS = (0, 400, 1200, 3000)  # ms
-TOLD_LATE = ("drain", "gone", "vanish", "restart")  # events that the list brings
-GAPS = (150, 30)  # ms between arrivals: a trickle, and a burst
-MOMENTS = (0, 60, 330)  # ms: before the first arrival, in the middle of its dispatch, between two
-ARRIVALS = {150: 12, 30: 20}
-COLD_ARRIVALS = {150: 12, 30: 48}  # a cold server's budget shows over a second and a half
-EXHAUSTIVE = 1500  # worlds; where all combinations are no more, all are played
+TOLD_LATE = ("drain", "gone", "vanish", "restart")  # events that the worker list reports with a lag
+GAPS = (150, 30)  # ms between arrivals: low rate and burst
+MOMENTS = (0, 60, 330)  # ms: before the first arrival, during its attempt, between two arrivals
+ARRIVALS = {150: 12, 30: 20}  # number of arrivals by gap
+COLD_ARRIVALS = {150: 12, 30: 48}  # the budget of a cold server takes about 1.5 s to show
+EXHAUSTIVE = 1500  # up to this number of combinations, all are simulated
 NO_REGION: list[str | None] = [None]
 
 
 def sample_worlds(plan: Plan, expectations: Sequence[Expectation], seed: int) -> list[World]:
-    """Every pair of what can happen, for every kind of job; every triple of the states themselves."""
+    """Returns worlds that cover every pair of factor values, and selected triples.
+
+    All combinations are returned if there are no more than EXHAUSTIVE. Equal seeds give equal worlds.
+    """
     jobs = sample_subjects(plan, expectations)
     factors: list[Sequence[Any]] = [jobs, LOADS, ENDINGS, EVENTS, TARGETS, LAGS, MOMENTS, (1, 2), GAPS]
     if math.prod(map(len, factors)) <= EXHAUSTIVE:
@@ -48,12 +51,15 @@
 
 
 def _triples(jobs: Sequence[Subject]) -> Iterator[tuple[Any, ...]]:
-    """Triples of job, event and moment, with every lag; of class, ending and load; the rest in turn."""
+    """Yields triples of subject, event and time, with every lag, and of class, ending and load.
+
+    The remaining factors cycle through their values.
+    """
     turn = 0
     for subject, event in product(jobs, EVENTS[1:]):
         for at, lag in product(MOMENTS, LAGS) if event in TOLD_LATE else product(MOMENTS, (0,)):
             turn += 1
-            if event in TOLD_LATE and (turn + at) % 2:  # half of these; pairs of lag and moment remain
+            if event in TOLD_LATE and (turn + at) % 2:  # skip half of these; all pairs of lag and time remain
                 continue
             yield (subject, LOADS[turn % 2], "served", event, TARGETS[turn // 2 % 3], lag, at,
                    1 + turn // 3 % 2, GAPS[turn // 5 % 2])
@@ -63,7 +69,7 @@
 
 
 def sample_subjects(plan: Plan, expectations: Sequence[Expectation]) -> list[Subject]:
-    """Jobs that the rules and expectations speak of, and for each class one of which nothing speaks."""
+    """Returns subjects that the rules and expectations match, and for each class one without attributes."""
     classes = [cls.name for cls in plan.settings.classes]
     found = {Subject(name): None for name in classes}
     matches = [rule.match for rule in plan.routes.rules]
@@ -74,9 +80,9 @@
 
 
 def _subjects_of(match: Match, classes: Sequence[str], number: int) -> Iterator[Subject]:
-    """Jobs that a match lets through: of each class that it names, else of one, in turn.
+    """Yields subjects that a match accepts: one per named class and region.
 
-    They have the first of each other thing that it names, and each region.
+    A match without classes gets one class, chosen by `number`. Other attributes take the first value named.
     """
     key = min(match.keys, default=None) or min(match.key_prefixes, default=None)
     client = None
@@ -91,7 +97,10 @@
 def fleet_of(
         settings: api.Settings, routes: Routes, listed: Iterable[tuple[str, str]], named: Mapping[str, None],
 ) -> tuple[tuple[str, str], ...]:
-    """Which zones hold which kinds: as listed, else every kind that is named in every zone that is."""
+    """Returns the pairs of zone and kind in the fleet.
+
+    Without `listed` pairs, every kind that is named anywhere runs in every named zone.
+    """
     pairs = tuple(dict.fromkeys(listed))
     if pairs:
         return pairs
--- a/arrowfold/expectations/world.py
+++ b/arrowfold/expectations/world.py
@@ -1,4 +1,4 @@
-"""A world: a few words that say what happens, its token, and the plan that it is played on."""
+"""The description of a simulated world, its token, and the plan under which it is simulated."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class TokenError(ValueError):
-    """A token that names no world."""
+    """A token that does not decode to a valid world."""
 
 
 @dataclass(frozen=True, slots=True)
 class World:
-    """What happens. Times in milliseconds from the first arrival."""
+    """The factors of one simulation. Times are in milliseconds, `at` counts from the first arrival."""
 
     request_class: str
     region: str | None = None
@@ -35,27 +35,29 @@
     tenant: str | None = None
     client: str | None = None
     resent: bool = False
-    servers: int = 1  # of each zone and kind
+    servers: int = 1  # number of servers per zone and kind
     load: str = "idle"
     ending: str = "served"  # how the first attempt of each session ends
     event: str = "none"
-    target: str = "one"  # whom the event befalls, in the region that the job is to prefer
+    target: str = "one"  # servers that the event affects, in the region preferred for the request
     at: int = 300
-    lag: int = 0  # how far the list runs behind the event
+    lag: int = 0  # delay from the event to the update of the worker list
     arrivals: int = 1
-    gap: int = 150
+    gap: int = 150  # between arrivals
     seed: int = 1
 
     def subject(self) -> Subject:
+        """Returns the attributes of its requests that rules match."""
         return Subject(self.request_class, self.region, self.key, self.tenant, self.client, self.resent)
 
     def token(self) -> str:
-        """What `check --replay` takes."""
+        """Returns the token that `check --replay` accepts."""
         row = {name: value for name, value in asdict(self).items() if value != _DEFAULTS.get(name)}
         return urlsafe_b64encode(json.dumps(row, separators=(",", ":")).encode()).decode().rstrip("=")
 
     @staticmethod
     def from_token(token: str) -> World:
+        """Returns the world of a token. TokenError if it is malformed or a value is out of range."""
         try:
             row = json.loads(urlsafe_b64decode(token + "=" * (-len(token) % 4)))
             world = World(**row)
@@ -69,7 +71,7 @@
         return world
 
     def words(self) -> str:
-        """The world in a line."""
+        """Returns a description in one line."""
         said = [self.request_class]
         said += [f"{name} {value}" for name, value in (
             ("region", self.region), ("key", self.key), ("tenant", self.tenant), ("from", self.client))
@@ -91,11 +93,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What is checked: the platform's settings, the routes, and which zones hold which kinds."""
+    """What is checked: the platform's settings, the routes, the fleet and the quotas."""
 
     settings: api.Settings
     routes: Routes
-    fleet: tuple[tuple[str, str], ...]  # zone and kind
+    fleet: tuple[tuple[str, str], ...]  # pairs of zone and kind
     quotas: Tree | None = None
     make_core: MakeCore = Core
     make_table: Callable[[Routes], RouteTable] = RouteTable
--- a/arrowfold/expectations/worlds.py
+++ b/arrowfold/expectations/worlds.py
@@ -1,6 +1,6 @@
-"""Worlds: one node's core and module, in virtual time, among backend servers that exist in memory only.
+"""Simulates a world: the core and module of one node in virtual time, with simulated backend servers.
 
-A world is a few words that say what happens; playing it twice gives the same history to the byte.
+A simulation is deterministic: equal worlds and plans give identical histories.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 __all__ = ["ENDINGS", "EVENTS", "LOADS", "TARGETS", "Plan", "Stage", "TokenError", "World", "play"]
 
-FIRST = 100 * MS  # from the list to the first arrival
-TAIL = timedelta(seconds=1)  # played after the last deadline
+FIRST = 100 * MS  # time from the first list to the first arrival
+TAIL = timedelta(seconds=1)  # simulated time after the last deadline
 
 
 class Stage:
-    """One world at play."""
+    """One simulation of a world."""
 
     def __init__(self, world: World, plan: Plan) -> None:
         self.world, self.plan, self.clock = world, plan, Clock()
@@ -45,7 +45,7 @@
         if plan.quotas is not None:
             means = {c.name: timedelta(microseconds=c.aim_us) for c in plan.settings.classes}
             self.core.quotas = Gate(plan.quotas, plan.settings.fleet_size, means, START)
-        # Names say nothing of zone or kind, as on the wire; a shuffle keeps their order from saying it.
+        # As on the wire, names carry no zone or kind; shuffling keeps their order from revealing either.
         pairs = [pair for pair in plan.fleet for _ in range(world.servers)]
         names = [f"s{number}" for number in range(len(pairs))]
         self.random.shuffle(names)
@@ -54,7 +54,7 @@
         self._load()
 
     def _preferred(self) -> Collection[str]:
-        """The zones that the job is to go to first; the node's own where no route says."""
+        """Returns the zones preferred for the request; the node's own zone if no route applies."""
         found = self.core.routes.find(self.world.subject()) if self.core.routes is not None else None
         if found is not None and found[1] is not None and found[1].zones:
             return found[1].zones[0]
@@ -68,7 +68,7 @@
             server.busy = SLOTS // 2 if self.world.load == "busy" else 0
 
     def play(self) -> History:
-        """From the first list to the last answer."""
+        """Runs the simulation from the first list to the last answer and returns its history."""
         world, core, clock = self.world, self.core, self.clock
         core.list_servers("list", self._rows(self.servers), api.RosterMode.COMPLETE)
         begin = START + FIRST
@@ -102,7 +102,7 @@
     def _class(self) -> api.RequestClass | None:
         return next((c for c in self.plan.settings.classes if c.name == self.world.request_class), None)
 
-    # --- what happens ------------------------------------------------------------------------------------
+    # --- events ------------------------------------------------------------------------------------------
 
     def _befallen(self) -> list[SimServer]:
         if self.world.target == "all":
@@ -124,7 +124,10 @@
             self.core.change_settings(replace(self.plan.settings, attempt_cap=fewer), 30_000)
 
     def _tell(self, servers: list[SimServer], lag: timedelta) -> None:
-        """The list says it, late, as it was when it happened; never in the same moment."""
+        """Updates the worker list after the lag, with the state at the time of the event.
+
+        The delay is at least 1 ms, so that no update is simultaneous with its event.
+        """
         lag = max(lag, MS)
         rows = self._rows(servers)
         if self.world.event == "vanish":
@@ -158,7 +161,10 @@
         self._tell(servers, self.world.lag * MS)
 
     def _maintain(self, servers: list[SimServer]) -> None:
-        """Out by an operator's call, which is heard at once; the list goes on saying that they serve."""
+        """Takes servers out by an operator's command, which takes effect at once.
+
+        The worker list keeps reporting them as in service.
+        """
         for server in servers:
             self.core.take_out(server.name)
         self._tell(servers, 300 * MS)
@@ -172,6 +178,6 @@
 
 
 def play(world: World, plan: Plan) -> History:
-    """What happens in a world."""
+    """Simulates a world and returns its history."""
     return Stage(world, plan).play()
 
