--- a/arrowfold/expectations/claims.py
+++ b/arrowfold/expectations/claims.py
@@ -9,7 +9,7 @@
 
 from arrowfold.expectations.history import ZERO, Attempt, Life, State, View
 
-SOON = timedelta(milliseconds=50)  # free capacity must last this long to count
+CAPACITY_DURATION = timedelta(milliseconds=50)  # free capacity must last this long to count
 Regions = Mapping[str, frozenset[str]]  # zones by region
 
 
@@ -32,10 +32,10 @@
     after: timedelta = ZERO  # matches only after the state has lasted longer than this
     own: bool = False  # count the state from the server's own event instead of the node's list
 
-    def holds(self, view: View, regions: Regions, server: str, at: timedelta) -> str | None:
+    def describe_match(self, view: View, regions: Regions, server: str, at: timedelta) -> str | None:
         """Returns a description of how the server matches at a given time, or None if it does not match."""
-        sight = view.sight(server, at)
-        zone, kind = (sight.zone, sight.kind) if sight is not None else ("", "")
+        listed = view.listed_state(server, at)
+        zone, kind = (listed.zone, listed.kind) if listed is not None else ("", "")
         if self.region is not None and zone not in regions[self.region]:
             return None
         if self.kind is not None and kind != self.kind:
@@ -45,14 +45,14 @@
         since = view.since(server, self.state, at, self.own)
         if since is None or (self.after and at - since <= self.after):
             return None
-        whose = "by itself" if self.own else "as told"
-        return f"in {zone or 'no zone'}, {self.state.value} {whose} for {seconds(at - since)}"
+        source = "by itself" if self.own else "as told"
+        return f"in {zone or 'no zone'}, {self.state.value} {source} for {seconds(at - since)}"
 
-    def at_hand(self, view: View, at: timedelta) -> bool:
-        """Whether any server is in the state; otherwise avoiding such servers is no evidence for the claim."""
-        return self.state is None or view.any_is(self.state, at, self.own)
+    def is_any_in_state(self, view: View, at: timedelta) -> bool:
+        """Whether any server is in the state; if none is, avoiding such servers proves nothing."""
+        return self.state is None or view.any_in_state(self.state, at, self.own)
 
-    def could_hold(self, regions: Regions, zone: str, kind: str) -> bool:
+    def could_match(self, regions: Regions, zone: str, kind: str) -> bool:
         """Whether a server of this zone and kind can match, in whatever state."""
         return (self.region is None or zone in regions[self.region]) and self.kind in (None, kind)
 
@@ -60,8 +60,9 @@
 class Claim(Protocol):
     """A condition on one session; `attempts` are those selected by the expectation's `When`."""
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
         """Yields a finding for each evaluation; none if the claim does not apply to this session."""
 
 
@@ -72,15 +73,16 @@
     target: Target
     never: bool
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
         for attempt in attempts:
-            if self.never and not self.target.at_hand(view, attempt.sent):
+            if self.never and not self.target.is_any_in_state(view, attempt.sent):
                 continue
-            why = self.target.holds(view, regions, attempt.server, attempt.sent)
+            reason = self.target.describe_match(view, regions, attempt.server, attempt.sent)
             text = ""
-            if (why is not None) is self.never:
-                text = f"{_sent(life, attempt)}, {why or _where(view, attempt)}"
+            if (reason is not None) is self.never:
+                text = f"{_describe_attempt(session, attempt)}, {reason or _describe_server(view, attempt)}"
             yield Finding(not text, attempt.sent, text)
 
 
@@ -94,18 +96,21 @@
     order: tuple[str, ...]
     share: float = 1.0
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
         for attempt in attempts:
-            owed = next((name for name in self.order
-                         if not view.region_is(regions[name], State.FULL, attempt.sent)), None)
-            if owed is None or attempt.number:
+            expected = next((name for name in self.order
+                             if not view.all_in_state(regions[name], State.FULL, attempt.sent)), None)
+            if expected is None or attempt.number:
                 continue
-            sight = view.sight(attempt.server, attempt.sent)
-            before = self.order[:self.order.index(owed) + 1]  # an earlier region that accepted it is fine too
-            ok = sight is not None and any(sight.zone in regions[name] for name in before)
+            listed = view.listed_state(attempt.server, attempt.sent)
+            # An earlier region that accepted the attempt after all is fine too.
+            allowed = self.order[:self.order.index(expected) + 1]
+            ok = listed is not None and any(listed.zone in regions[name] for name in allowed)
             yield Finding(ok, attempt.sent, "" if ok else
-                          f"{_sent(life, attempt)}, {_where(view, attempt)}, while {owed} had room")
+                          f"{_describe_attempt(session, attempt)}, {_describe_server(view, attempt)}, "
+                          f"while {expected} had room")
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,15 +125,16 @@
     state: State
     share: float = 1.0
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
         for attempt in attempts:
-            sight = view.sight(attempt.server, attempt.sent)
-            if attempt.number or sight is None or sight.zone in regions[self.region]:
+            listed = view.listed_state(attempt.server, attempt.sent)
+            if attempt.number or listed is None or listed.zone in regions[self.region]:
                 continue
-            ok = view.region_is(regions[self.region], self.state, attempt.sent)
+            ok = view.all_in_state(regions[self.region], self.state, attempt.sent)
             yield Finding(ok, attempt.sent, "" if ok else
-                          f"{_sent(life, attempt)}, in {sight.zone}, while {self.region} "
+                          f"{_describe_attempt(session, attempt)}, in {listed.zone}, while {self.region} "
                           f"was not {self.state.value}")
 
 
@@ -138,26 +144,29 @@
 
     most: int
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
         if attempts:
-            count = len(life.attempts)
-            yield Finding(count <= self.most, life.attempts[-1].sent, "" if count <= self.most else
-                          f"{life.id} was dispatched {count} times")
+            count = len(session.attempts)
+            yield Finding(count <= self.most, session.attempts[-1].sent, "" if count <= self.most else
+                          f"{session.id} was dispatched {count} times")
 
 
 @dataclass(frozen=True, slots=True)
 class NotRepeated:
     """No attempt starts once an earlier one may have run."""
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
-        for number, attempt in enumerate(life.attempts):
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
+        for number, attempt in enumerate(session.attempts):
             if attempt not in attempts:
                 continue
-            ran = next((a for a in life.attempts[:number] if _may_run_at(a, attempt.sent)), None)
+            ran = next((a for a in session.attempts[:number] if _may_have_run_by(a, attempt.sent)), None)
             yield Finding(ran is None, attempt.sent, "" if ran is None else
-                          f"{_sent(life, attempt)}, though attempt {ran.number} at {ran.server} may have run")
+                          f"{_describe_attempt(session, attempt)}, though attempt {ran.number} at "
+                          f"{ran.server} may have run")
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,30 +179,31 @@
     within: timedelta
     of_silence: bool = False  # counted from the sending of an attempt that is not known to have started
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
-        if not attempts or attempts[0].number or life.verdict == "left":
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
+        if not attempts or attempts[0].number or session.verdict == "left":
             return
         first = attempts[0]
         since = self._since(first)
-        if since is None or since + self.within > life.deadline:
+        if since is None or since + self.within > session.deadline:
             return
         until = since + self.within
-        if not (view.any_room(since) and view.any_room(since + SOON)):
+        if not (view.has_any_capacity(since) and view.has_any_capacity(since + CAPACITY_DURATION)):
             return  # no server had free capacity for long enough
-        again = any(a.sent <= until for a in life.attempts[1:])
+        was_retried = any(a.sent <= until for a in session.attempts[1:])
         status = first.status.name.lower() if first.status is not None else "out"
         how = "was silent" if self.of_silence else f"ended {status}"
-        yield Finding(again, until, "" if again else
-                      f"{life.id}: attempt 0 at {first.server} {how} at {seconds(since)}, and no other "
+        yield Finding(was_retried, until, "" if was_retried else
+                      f"{session.id}: attempt 0 at {first.server} {how} at {seconds(since)}, and no other "
                       f"followed within {seconds(self.within)}")
 
     def _since(self, first: Attempt) -> timedelta | None:
         """Returns the time at which a retry became necessary, or None."""
         if self.of_silence:
             given_up = first.status is not None and first.status.name in ("CANCELLED", "TIMEOUT")
-            words = [t for t in (first.started, None if given_up else first.ended) if t is not None]
-            return first.sent if all(t > first.sent + self.within for t in words) else None
+            answers = [t for t in (first.started, None if given_up else first.ended) if t is not None]
+            return first.sent if all(t > first.sent + self.within for t in answers) else None
         if first.status is None or first.status.name in ("OK", "CANCELLED"):
             return None
         return first.ended
@@ -203,13 +213,15 @@
 class OneCopy:
     """A session never has two outstanding attempts."""
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
         for attempt in attempts:
-            other = next((a for a in life.attempts if a.number < attempt.number
+            other = next((a for a in session.attempts if a.number < attempt.number
                           and (a.ended is None or a.ended > attempt.sent)), None)
             yield Finding(other is None, attempt.sent, "" if other is None else
-                          f"{_sent(life, attempt)}, while attempt {other.number} was out at {other.server}")
+                          f"{_describe_attempt(session, attempt)}, while attempt {other.number} was out at "
+                          f"{other.server}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,22 +235,24 @@
     at_least: timedelta | None = None
     at_most: timedelta | None = None
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
-        if life.verdict == "left":
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
+        if session.verdict == "left":
             return
-        why, told = "", life.retry_after
-        if life.attempts:
-            why = f"was dispatched to {life.attempts[0].server}"
-        elif life.verdict != "denied":
-            why = f"was answered {life.verdict}"
-        elif self.advice is not None and (told is not None) is not self.advice:
-            why = "was denied with advice" if told is not None else "was denied without advice"
-        elif self.at_least is not None and (told is None or told < self.at_least):
-            why = f"was told to come back after {seconds(told) if told is not None else 'nothing'}"
-        elif self.at_most is not None and told is not None and told > self.at_most:
-            why = f"was told to come back after {seconds(told)}"
-        yield Finding(not why, life.answered or life.deadline, f"{life.id} {why}" if why else "")
+        reason, advised = "", session.retry_after
+        if session.attempts:
+            reason = f"was dispatched to {session.attempts[0].server}"
+        elif session.verdict != "denied":
+            reason = f"was answered {session.verdict}"
+        elif self.advice is not None and (advised is not None) is not self.advice:
+            reason = "was denied with advice" if advised is not None else "was denied without advice"
+        elif self.at_least is not None and (advised is None or advised < self.at_least):
+            reason = f"was told to come back after {seconds(advised) if advised is not None else 'nothing'}"
+        elif self.at_most is not None and advised is not None and advised > self.at_most:
+            reason = f"was told to come back after {seconds(advised)}"
+        yield Finding(not reason, session.answered or session.deadline,
+                      f"{session.id} {reason}" if reason else "")
 
 
 @dataclass(frozen=True, slots=True)
@@ -249,28 +263,30 @@
     of: str  # arrival, deadline, start, end
     verdict: str | None = None
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
-        event = self._event(life)
-        if event is None or life.verdict == "left":
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
+        event = self._event(session)
+        if event is None or session.verdict == "left":
             return
-        why = ""
-        if life.answered is None:
-            why = "was never answered"
-        elif life.answered - event > self.within:
-            why = f"was answered {seconds(life.answered - event)} after its {self.of}"
-        elif self.verdict is not None and life.verdict != self.verdict:
-            why = f"was answered {life.verdict}"
-        yield Finding(not why, life.answered or life.deadline, f"{life.id} {why}" if why else "")
-
-    def _event(self, life: Life) -> timedelta | None:
+        reason = ""
+        if session.answered is None:
+            reason = "was never answered"
+        elif session.answered - event > self.within:
+            reason = f"was answered {seconds(session.answered - event)} after its {self.of}"
+        elif self.verdict is not None and session.verdict != self.verdict:
+            reason = f"was answered {session.verdict}"
+        yield Finding(not reason, session.answered or session.deadline,
+                      f"{session.id} {reason}" if reason else "")
+
+    def _event(self, session: Life) -> timedelta | None:
         if self.of == "arrival":
-            return life.arrived
+            return session.arrived
         if self.of == "deadline":
-            return life.deadline
+            return session.deadline
         if self.of == "start":
-            return next((a.started for a in life.attempts if a.started is not None), None)
-        return next((a.ended for a in life.attempts
+            return next((a.started for a in session.attempts if a.started is not None), None)
+        return next((a.ended for a in session.attempts
                      if a.ended is not None and a.status is not None and a.status.name == "OK"), None)
 
 
@@ -284,18 +300,20 @@
 
     region: str | None = None
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
-        if life.answered is None or life.verdict == "left" or any(
-                a.status is not None and a.status.name not in ("OK", "FULL") for a in life.attempts):
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
+        if session.answered is None or session.verdict == "left" or any(
+                a.status is not None and a.status.name not in ("OK", "FULL") for a in session.attempts):
             return
         zones = regions[self.region] if self.region is not None else None
-        steps = [life.arrived + (life.answered - life.arrived) * part / 4 for part in range(5)]
-        if not all(view.any_room(at, zones) for at in steps):
+        steps = [session.arrived + (session.answered - session.arrived) * part / 4 for part in range(5)]
+        if not all(view.has_any_capacity(at, zones) for at in steps):
             return
-        ok = life.verdict == "served"
-        yield Finding(ok, life.answered, "" if ok else
-                      f"{life.id} was answered {life.verdict} after {seconds(life.answered - life.arrived)}, "
+        ok = session.verdict == "served"
+        yield Finding(ok, session.answered, "" if ok else
+                      f"{session.id} was answered {session.verdict} after "
+                      f"{seconds(session.answered - session.arrived)}, "
                       f"while {self.region or 'some server'} had room")
 
 
@@ -307,21 +325,22 @@
     per: timedelta
     target: Target
 
-    def judge(
-            self, view: View, regions: Regions, life: Life, attempts: Sequence[Attempt]) -> Iterator[Finding]:
+    def evaluate(
+            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+    ) -> Iterator[Finding]:
         for attempt in attempts:
-            if not self.target.at_hand(view, attempt.sent):
+            if not self.target.is_any_in_state(view, attempt.sent):
                 continue
-            if self.target.holds(view, regions, attempt.server, attempt.sent) is None:
+            if self.target.describe_match(view, regions, attempt.server, attempt.sent) is None:
                 yield Finding(True, attempt.sent)
                 continue
             begin = attempt.sent - self.per
             if self.target.state is not None:  # attempts before the server entered the state do not count
                 since = view.since(attempt.server, self.target.state, attempt.sent, self.target.own)
                 begin = max(begin, since) if since is not None else begin
-            count = view.sent_between(attempt.server, begin, attempt.sent)
+            count = view.count_sent(attempt.server, begin, attempt.sent)
             yield Finding(count <= self.most, attempt.sent, "" if count <= self.most else
-                          f"{_sent(life, attempt)}: {count} within {seconds(self.per)}")
+                          f"{_describe_attempt(session, attempt)}: {count} within {seconds(self.per)}")
 
 
 def seconds(span: timedelta) -> str:
@@ -329,15 +348,15 @@
     return f"{span.total_seconds():.3f} s"
 
 
-def _sent(life: Life, attempt: Attempt) -> str:
-    return f"attempt {attempt.number} of {life.id} went to {attempt.server} at {seconds(attempt.sent)}"
+def _describe_attempt(session: Life, attempt: Attempt) -> str:
+    return f"attempt {attempt.number} of {session.id} went to {attempt.server} at {seconds(attempt.sent)}"
 
 
-def _where(view: View, attempt: Attempt) -> str:
-    sight = view.sight(attempt.server, attempt.sent)
-    return f"in {sight.zone}, of kind {sight.kind}" if sight is not None else "which no list has named"
+def _describe_server(view: View, attempt: Attempt) -> str:
+    listed = view.listed_state(attempt.server, attempt.sent)
+    return f"in {listed.zone}, of kind {listed.kind}" if listed is not None else "which no list has named"
 
 
-def _may_run_at(attempt: Attempt, at: timedelta) -> bool:
+def _may_have_run_by(attempt: Attempt, at: timedelta) -> bool:
     """Whether an attempt may have run, as far as the node knew at a given time."""
     return attempt.ended is None or attempt.ended > at or attempt.may_have_run
--- a/arrowfold/expectations/contradictions.py
+++ b/arrowfold/expectations/contradictions.py
@@ -40,5 +40,5 @@
     if isinstance(claim, Prefers):
         return frozenset(p for p in plan.fleet if p[0] in regions[claim.order[0]])
     if isinstance(claim, Reaches) and claim.target.state is None:
-        return frozenset(p for p in plan.fleet if claim.target.could_hold(regions, *p) is not claim.never)
+        return frozenset(p for p in plan.fleet if claim.target.could_match(regions, *p) is not claim.never)
     return None
--- a/arrowfold/expectations/history.py
+++ b/arrowfold/expectations/history.py
@@ -17,9 +17,9 @@
 
 ZERO = timedelta(0)
 MICROSECOND = timedelta(microseconds=1)
-FULL_FOR = timedelta(seconds=1)  # time for which a load report is trusted
-FAILED_FOR = timedelta(seconds=4)  # time for which the node may avoid a server after a failure
-SILENT_AFTER = timedelta(seconds=1)  # a server that leaves an attempt unanswered for this long is silent
+FULL_VALIDITY = timedelta(seconds=1)  # time for which a load report is trusted
+FAILURE_AVOIDANCE = timedelta(seconds=4)  # time for which the node may avoid a server after a failure
+SILENCE_TIMEOUT = timedelta(seconds=1)  # a server that leaves an attempt unanswered for this long is silent
 
 
 class State(Enum):
@@ -34,7 +34,7 @@
     FULL = "full"
 
 
-LISTED = {
+LISTED_STATES = {
     api.Lifecycle.IN_SERVICE: State.IN_SERVICE, api.Lifecycle.TERMINATING: State.DRAINING,
     api.Lifecycle.TERMINATED: State.GONE}
 
@@ -129,31 +129,31 @@
 
     def __init__(self, history: History) -> None:
         self.history = history
-        self._sights: dict[str, list[Sight]] = {}
+        self._listed_states: dict[str, list[Sight]] = {}
         self._own: dict[str, list[Own]] = {}
-        self._words: dict[str, list[Report]] = {}
+        self._reports: dict[str, list[Report]] = {}
         self._sent: dict[str, list[Attempt]] = {}
         self._failures: dict[str, list[timedelta]] = {}
-        for sight in history.sights:
-            self._sights.setdefault(sight.server, []).append(sight)
+        for listed in history.sights:
+            self._listed_states.setdefault(listed.server, []).append(listed)
         for own in history.own:
             self._own.setdefault(own.server, []).append(own)
-        for life in history.lives:
-            for attempt in life.attempts:
+        for session in history.lives:
+            for attempt in session.attempts:
                 self._sent.setdefault(attempt.server, []).append(attempt)
-                words = self._words.setdefault(attempt.server, [])
-                if attempt.ended is not None and attempt.status in _FAILED:
+                load_reports = self._reports.setdefault(attempt.server, [])
+                if attempt.ended is not None and attempt.status in _FAILURE_STATUSES:
                     self._failures.setdefault(attempt.server, []).append(attempt.ended)
                 if attempt.started is not None:
-                    words.append(Report(attempt.started, attempt.server, None))
-                if attempt.ended is not None and attempt.status not in _NO_WORD:
+                    load_reports.append(Report(attempt.started, attempt.server, None))
+                if attempt.ended is not None and attempt.status not in _STATUSES_WITHOUT_REPORT:
                     free = 0.0 if attempt.status is api.Status.FULL else attempt.free
-                    words.append(Report(attempt.ended, attempt.server, free))
+                    load_reports.append(Report(attempt.ended, attempt.server, free))
         for report in history.reports:
-            self._words.setdefault(report.server, []).append(report)
-        for rows in (self._sights, self._own, self._words):
+            self._reports.setdefault(report.server, []).append(report)
+        for rows in (self._listed_states, self._own, self._reports):
             for row in rows.values():
-                row.sort(key=_at)
+                row.sort(key=_time_of)
         for failures in self._failures.values():
             failures.sort()
         for attempts in self._sent.values():
@@ -161,10 +161,10 @@
 
     # --- one server --------------------------------------------------------------------------------------
 
-    def sight(self, server: str, at: timedelta) -> Sight | None:
+    def listed_state(self, server: str, at: timedelta) -> Sight | None:
         """Returns the last listed state of a server at a given time, or None if it was never listed."""
-        rows = self._sights.get(server, [])
-        number = bisect_right(rows, at, key=_at)
+        rows = self._listed_states.get(server, [])
+        number = bisect_right(rows, at, key=_time_of)
         return rows[number - 1] if number else None
 
     def since(self, server: str, state: State, at: timedelta, own: bool = False) -> timedelta | None:
@@ -173,35 +173,36 @@
         Counts from the node's knowledge or, with `own`, from the server's own event, which may be earlier.
         """
         if own:
-            return _run(self._own.get(server, []), state, at)
+            return _run_start(self._own.get(server, []), state, at)
         if state is State.MAINTENANCE:
-            return self._out_since(server, at)
+            return self._maintenance_since(server, at)
         if state is State.COLD:
-            sight = self.sight(server, at)
-            if sight is None or sight.launched is None or at >= sight.launched + self.history.cold:
+            listed = self.listed_state(server, at)
+            if listed is None or listed.launched is None or at >= listed.launched + self.history.cold:
                 return None
             # The node can know of a start only from the first list that holds it.
-            return next(s.at for s in self._sights[server] if s.launched == sight.launched)
+            return next(s.at for s in self._listed_states[server] if s.launched == listed.launched)
         if state is State.SILENT:
             return self._silent_since(server, at)
         if state is State.FULL:
-            word = self._last_word(server, at, of_room=True)
-            full = word is not None and word.free is not None and word.free <= 0 and at - word.at < FULL_FOR
-            return word.at if full and word is not None else None
-        return _run(self._sights.get(server, []), state, at)
+            latest = self._last_report(server, at, with_free_slots=True)
+            full = (latest is not None and latest.free is not None and latest.free <= 0
+                    and at - latest.at < FULL_VALIDITY)
+            return latest.at if full and latest is not None else None
+        return _run_start(self._listed_states.get(server, []), state, at)
 
     def lag(self, server: str, at: timedelta) -> timedelta:
         """Returns the delay from the server's last own event to its listing; zero if no event is known."""
         rows = self._own.get(server, [])
-        number = bisect_right(rows, at, key=_at)
+        number = bisect_right(rows, at, key=_time_of)
         if not number:
             return ZERO
-        own, sights = rows[number - 1], self._sights.get(server, [])
-        told = next((s for s in sights[bisect_left(sights, own.at, key=_at):]
-                     if s.state is own.state and s.at >= own.at), None)
-        return (told.at if told is not None else self.history.until) - own.at
+        own, sights = rows[number - 1], self._listed_states.get(server, [])
+        listing = next((s for s in sights[bisect_left(sights, own.at, key=_time_of):]
+                        if s.state is own.state and s.at >= own.at), None)
+        return (listing.at if listing is not None else self.history.until) - own.at
 
-    def _out_since(self, server: str, at: timedelta) -> timedelta | None:
+    def _maintenance_since(self, server: str, at: timedelta) -> timedelta | None:
         """Returns the time since which a server is in maintenance; a repeated command changes nothing."""
         since = None
         for call in self.history.calls:
@@ -209,12 +210,12 @@
                 since = (since if since is not None else call.at) if call.out else None
         return since
 
-    def _last_word(self, server: str, at: timedelta, of_room: bool = False) -> Report | None:
-        words = self._words.get(server, [])
-        number = bisect_right(words, at, key=_at)
-        while number and of_room and words[number - 1].free is None:
+    def _last_report(self, server: str, at: timedelta, with_free_slots: bool = False) -> Report | None:
+        load_reports = self._reports.get(server, [])
+        number = bisect_right(load_reports, at, key=_time_of)
+        while number and with_free_slots and load_reports[number - 1].free is None:
             number -= 1
-        return words[number - 1] if number else None
+        return load_reports[number - 1] if number else None
 
     def _last_failure(self, server: str, at: timedelta) -> timedelta | None:
         failures = self._failures.get(server, [])
@@ -222,70 +223,71 @@
         return failures[number - 1] if number else None
 
     def _silent_since(self, server: str, at: timedelta) -> timedelta | None:
-        word, sent = self._last_word(server, at), self._sent.get(server, [])
-        first = bisect_left(sent, word.at, key=lambda a: a.sent) if word is not None else 0
-        if first >= len(sent) or sent[first].sent + SILENT_AFTER > at:
+        latest, sent = self._last_report(server, at), self._sent.get(server, [])
+        first = bisect_left(sent, latest.at, key=lambda a: a.sent) if latest is not None else 0
+        if first >= len(sent) or sent[first].sent + SILENCE_TIMEOUT > at:
             return None
-        return sent[first].sent + SILENT_AFTER
+        return sent[first].sent + SILENCE_TIMEOUT
 
     # --- several servers ---------------------------------------------------------------------------------
 
     def servers(self) -> Collection[str]:
         """Returns the names of all servers ever listed."""
-        return self._sights.keys()
+        return self._listed_states.keys()
 
-    def any_is(self, state: State, at: timedelta, own: bool = False) -> bool:
+    def any_in_state(self, state: State, at: timedelta, own: bool = False) -> bool:
         """Whether any server is in a state at a given time."""
-        return any(self.since(server, state, at, own) is not None for server in self._sights)
+        return any(self.since(server, state, at, own) is not None for server in self._listed_states)
 
-    def any_room(self, at: timedelta, zones: Collection[str] | None = None) -> bool:
+    def has_any_capacity(self, at: timedelta, zones: Collection[str] | None = None) -> bool:
         """Whether some server, in `zones` if given, certainly has free capacity."""
         if zones is None:
-            return any(self.has_room(server, at) for server in self._sights)
-        return not self.region_is(zones, State.FULL, at)
+            return any(self.has_room(server, at) for server in self._listed_states)
+        return not self.all_in_state(zones, State.FULL, at)
 
     def has_room(self, server: str, at: timedelta) -> bool:
         """Whether a server certainly has free capacity, as far as the node could know.
 
         It must be in service, neither cold, silent nor full, and without a recent failure. By a load report
-        no older than FULL_FOR, less the attempts sent since, more than one slot must be free: other nodes
-        send there too and may have taken the last one. A server without a report does not qualify.
+        no older than FULL_VALIDITY, less the attempts sent since, more than one slot must be free: other
+        nodes send there too and may have taken the last one. A server without a report does not qualify.
         """
         if any(self.since(server, state, at) is not None for state in (State.COLD, State.SILENT, State.FULL)):
             return False
         if self.since(server, State.IN_SERVICE, at) is None:
             return False
-        if (failed := self._last_failure(server, at)) is not None and at - failed < FAILED_FOR:
+        if (failed := self._last_failure(server, at)) is not None and at - failed < FAILURE_AVOIDANCE:
             return False
-        word = self._last_word(server, at, of_room=True)
-        if word is None or word.free is None or at - word.at > FULL_FOR:
+        latest = self._last_report(server, at, with_free_slots=True)
+        if latest is None or latest.free is None or at - latest.at > FULL_VALIDITY:
             return False
-        return word.free - self.sent_between(server, word.at - MICROSECOND, at - MICROSECOND) > 1
+        return latest.free - self.count_sent(server, latest.at - MICROSECOND, at - MICROSECOND) > 1
 
-    def sent_between(self, server: str, after: timedelta, until: timedelta) -> int:
+    def count_sent(self, server: str, after: timedelta, until: timedelta) -> int:
         """Returns the number of attempts sent to a server later than `after` and no later than `until`."""
         sent = self._sent.get(server, [])
         first, last = (bisect_right(sent, at, key=lambda a: a.sent) for at in (after, until))
         return last - first
 
-    def region_is(self, zones: Collection[str], state: State, at: timedelta) -> bool:
+    def all_in_state(self, zones: Collection[str], state: State, at: timedelta) -> bool:
         """Whether all servers of these zones are in a state.
 
         FULL also includes servers that cannot take requests for other reasons.
         """
-        here = [s for s in self.servers() if (sight := self.sight(s, at)) is not None and sight.zone in zones]
+        in_zones = [s for s in self.servers()
+                    if (listed := self.listed_state(s, at)) is not None and listed.zone in zones]
         if state is State.FULL:
-            return not any(self.has_room(server, at) for server in here)
-        return all(self.since(server, state, at) is not None for server in here)
+            return not any(self.has_room(server, at) for server in in_zones)
+        return all(self.since(server, state, at) is not None for server in in_zones)
 
 
-def _at(row: Sight | Own | Report) -> timedelta:
+def _time_of(row: Sight | Own | Report) -> timedelta:
     return row.at
 
 
-def _run(rows: list[Sight] | list[Own], state: State, at: timedelta) -> timedelta | None:
+def _run_start(rows: list[Sight] | list[Own], state: State, at: timedelta) -> timedelta | None:
     """Returns the start of the unbroken run of rows in a state that ends at a given time, or None."""
-    number = bisect_right(rows, at, key=_at)
+    number = bisect_right(rows, at, key=_time_of)
     if not number or rows[number - 1].state is not state:
         return None
     while number > 1 and rows[number - 2].state is state:
@@ -293,9 +295,9 @@
     return rows[number - 1].at
 
 
-_FAILED = frozenset({
+_FAILURE_STATUSES = frozenset({
     api.Status.ERROR, api.Status.CONNECT_FAILED, api.Status.RESET, api.Status.TIMEOUT, api.Status.CANCELLED})
-_NO_WORD = frozenset({None, api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.MOOT})
+_STATUSES_WITHOUT_REPORT = frozenset({None, api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.MOOT})
 
 
 def sights_of(at: timedelta, update: api.RosterUpdate, known: dict[str, Sight]) -> Iterable[Sight]:
@@ -309,7 +311,7 @@
     listed = set()
     for entry in update.entries:
         listed.add(entry.worker)
-        state = LISTED[entry.lifecycle]
+        state = LISTED_STATES[entry.lifecycle]
         launched = timedelta(microseconds=entry.launched_us) if entry.launched_us else None
         known[entry.worker] = Sight(at, entry.worker, entry.zone, entry.kind, state, launched)
         yield known[entry.worker]
--- a/arrowfold/expectations/judgement.py
+++ b/arrowfold/expectations/judgement.py
@@ -26,20 +26,20 @@
         """Whether any condition on attempts is set."""
         return bool(self.server or self.region or self.lag_under is not None)
 
-    def attempts(self, view: View, life: Life) -> list[Attempt]:
+    def attempts(self, view: View, session: Life) -> list[Attempt]:
         """Returns the selected attempts of a session."""
         if not self.of_attempts:
-            return life.attempts
-        return [attempt for attempt in life.attempts if self._holds(view, attempt)]
+            return session.attempts
+        return [attempt for attempt in session.attempts if self._holds(view, attempt)]
 
     def _holds(self, view: View, attempt: Attempt) -> bool:
         server, at = attempt.server, attempt.sent
         if any(view.since(server, state, at) is None for state in self.server):
             return False
         if self.region:
-            sight = view.sight(server, at)
-            zone = {sight.zone} if sight is not None else set()
-            if not all(view.region_is(zone, state, at) for state in self.region):
+            listed = view.listed_state(server, at)
+            zone = {listed.zone} if listed is not None else set()
+            if not all(view.all_in_state(zone, state, at) for state in self.region):
                 return False
         return self.lag_under is None or view.lag(server, at) < self.lag_under
 
@@ -67,16 +67,16 @@
         return self.good + len(self.bad)
 
 
-def judge(expectation: Expectation, view: View, regions: Regions) -> Tally:
+def evaluate(expectation: Expectation, view: View, regions: Regions) -> Tally:
     """Evaluates one expectation over a history."""
     tally, when = Tally(), expectation.when
-    for life in view.history.lives:
-        if not holds(when.match, life.subject):
+    for session in view.history.lives:
+        if not holds(when.match, session.subject):
             continue
-        attempts = when.attempts(view, life)
+        attempts = when.attempts(view, session)
         if when.of_attempts and not attempts:
             continue
-        for finding in expectation.claim.judge(view, regions, life, attempts):
+        for finding in expectation.claim.evaluate(view, regions, session, attempts):
             if finding.ok:
                 tally.good += 1
             else:
@@ -92,4 +92,4 @@
 def judge_all(history: History, expectations: Sequence[Expectation], regions: Regions) -> list[Tally]:
     """Evaluates all expectations over a history, in their order."""
     view = View(history)
-    return [judge(expectation, view, regions) for expectation in expectations]
+    return [evaluate(expectation, view, regions) for expectation in expectations]
--- a/arrowfold/expectations/memory_server.py
+++ b/arrowfold/expectations/memory_server.py
@@ -13,13 +13,13 @@
 from arrowfold.routing.session import Dispatch, Probe
 
 MS = timedelta(milliseconds=1)
-WIRE = 2 * MS  # one-way network delay to a server
-RUN = 120 * MS  # mean run time of a request
-SLOW_RUN = 3000 * MS
-SLOTS = 4
+WIRE_DELAY = 2 * MS  # one-way network delay to a server
+RUN_TIME = 120 * MS  # mean run time of a request
+SLOW_RUN_TIME = 3000 * MS
+SLOTS = 4  # requests that a server runs at once
 
 
-class Surroundings(Protocol):
+class SimulationContext(Protocol):
     """The parts of a running simulation that a server uses."""
 
     clock: Clock
@@ -28,17 +28,17 @@
 
 
 @dataclass(slots=True)
-class SimServer:
+class SimulatedServer:
     """A simulated backend server; implements the server interface of the core."""
 
-    stage: Surroundings
+    context: SimulationContext
     name: str
     zone: str
     kind: str
-    full: bool = False
-    busy: int = 0  # slots taken by requests of other nodes
-    dead: bool = False
-    silent: bool = False
+    is_full: bool = False
+    busy_slots: int = 0  # slots taken by requests of other nodes
+    is_stopped: bool = False
+    is_silent: bool = False
     launched_us: int = 0
     state: api.Lifecycle = api.Lifecycle.IN_SERVICE
     running: list[Dispatch] = field(default_factory=list)
@@ -49,31 +49,32 @@
 
     def load(self) -> api.LoadReport:
         """Returns its load report."""
-        free = 0 if self.full else max(0, SLOTS - self.busy - len(self.running))
+        free = 0 if self.is_full else max(0, SLOTS - self.busy_slots - len(self.running))
         return api.LoadReport(free_slots=float(free), held=float(SLOTS - free))
 
     def send(self, dispatch: Dispatch) -> None:
         """Sends an attempt; it arrives after the one-way delay."""
         dispatch.whole = True
-        self.stage.clock.call_later(WIRE, lambda: self._take(dispatch))
+        self.context.clock.call_later(WIRE_DELAY, lambda: self._receive(dispatch))
 
-    def _take(self, dispatch: Dispatch) -> None:
+    def _receive(self, dispatch: Dispatch) -> None:
         """Handles an attempt whose last byte has arrived."""
-        ending = self.stage.world.ending if not dispatch.number else "served"
-        if dispatch.over or self.silent:
+        ending = self.context.world.ending if not dispatch.number else "served"
+        if dispatch.over or self.is_silent:
             return
-        if self.dead or ending == "refused":
+        if self.is_stopped or ending == "refused":
             dispatch.ended(api.Status.CONNECT_FAILED)
         elif self.load().free_slots == 0 or ending == "turned-away":
             dispatch.ended(api.Status.FULL, b"", self.load())
         else:
             self.running.append(dispatch)
             dispatch.started()
-            run = SLOW_RUN if ending == "slow" else RUN * (0.8 + 0.4 * self.stage.random.random())
-            self.stage.clock.call_later(run, lambda: self._finish(dispatch, ending))
+            run_time = (SLOW_RUN_TIME if ending == "slow"
+                        else RUN_TIME * (0.8 + 0.4 * self.context.random.random()))
+            self.context.clock.call_later(run_time, lambda: self._finish(dispatch, ending))
 
     def _finish(self, dispatch: Dispatch, ending: str) -> None:
-        if dispatch not in self.running or self.silent:
+        if dispatch not in self.running or self.is_silent:
             return
         self.running.remove(dispatch)
         if not dispatch.over:
@@ -83,18 +84,18 @@
     def probe(self, probe: Probe) -> None:
         """Answers a probe after one round trip; a silent server never answers."""
         def answer() -> None:
-            if self.dead:
+            if self.is_stopped:
                 probe.ended(api.Status.CONNECT_FAILED)
-            elif not self.silent:
+            elif not self.is_silent:
                 probe.ended(api.Status.OK, self.load())
 
-        self.stage.clock.call_later(2 * WIRE, answer)
+        self.context.clock.call_later(2 * WIRE_DELAY, answer)
 
     def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
         """Stops an attempt or a probe."""
         if errand in self.running:
             self.running.remove(errand)  # type: ignore[arg-type]
-        return None  # the simulation delivers an attempt whole, so its status never depends on a partial send
+        return None  # the whole attempt has reached the server and may have run
 
     def rest(self) -> None:
         """Does nothing: there are no connections to close."""
--- a/arrowfold/expectations/plan_settings.py
+++ b/arrowfold/expectations/plan_settings.py
@@ -19,9 +19,9 @@
     without: Callable[[Plan], Plan]
 
 
-def settings_of(plan: Plan) -> list[Setting]:
+def list_settings(plan: Plan) -> list[Setting]:
     """Returns all settings that may contribute to a verdict."""
-    found = [Setting(path_of(rule), _without_rule(rule.name)) for rule in plan.routes.rules]
+    found = [Setting(action_path(rule), _without_rule(rule.name)) for rule in plan.routes.rules]
     if plan.quotas is not None:
         found += [Setting(f'quotas > organisation "{name}"', _without_organisation(name))
                   for name in plan.quotas.root.children]
@@ -49,7 +49,7 @@
     return "deny" if action.deny else "only" if action.only else "kinds" if action.kinds else "prefer"
 
 
-def path_of(rule: Rule) -> str:
+def action_path(rule: Rule) -> str:
     """Returns the path of a rule's action in the document."""
     return f'routes > rule "{rule.name}" > {_action_name(rule)}'
 
--- a/arrowfold/expectations/recorder.py
+++ b/arrowfold/expectations/recorder.py
@@ -54,13 +54,13 @@
             self.history.reports.append(Report(self.now(), server, load.free_slots))
 
     def answered(self, session: Session, answer: Answer | None) -> None:
-        life: Life = session.span
-        life.answered, life.rule = self.now(), session.rule
-        life.verdict = answer.verdict.value if answer is not None else "left"
-        life.retry_after = answer.retry_after if answer is not None else None
+        record: Life = session.span
+        record.answered, record.rule = self.now(), session.rule
+        record.verdict = answer.verdict.value if answer is not None else "left"
+        record.retry_after = answer.retry_after if answer is not None else None
 
 
-class Silent:
+class DiscardingClient:
     """A client that ignores its answer."""
 
     def answer(self, answer: Answer) -> None:
--- a/arrowfold/expectations/sampling.py
+++ b/arrowfold/expectations/sampling.py
@@ -16,56 +16,59 @@
 from arrowfold.networks import read_network
 from arrowfold.routes.rules import Match, Routes, Subject
 
-LAGS = (0, 400, 1200, 3000)  # ms
-TOLD_LATE = ("drain", "gone", "vanish", "restart")  # events that the worker list reports with a lag
-GAPS = (150, 30)  # ms between arrivals: low rate and burst
-MOMENTS = (0, 60, 330)  # ms: before the first arrival, during its attempt, between two arrivals
+LAGS_MS = (0, 400, 1200, 3000)
+LISTED_EVENTS = ("drain", "gone", "vanish", "restart")  # events that the worker list reports with a lag
+GAPS_MS = (150, 30)  # between arrivals: low rate and burst
+EVENT_TIMES_MS = (0, 60, 330)  # before the first arrival, during its attempt, between two arrivals
 ARRIVALS = {150: 12, 30: 20}  # number of arrivals by gap
 COLD_ARRIVALS = {150: 12, 30: 48}  # the budget of a cold server takes about 1.5 s to show
-EXHAUSTIVE = 1500  # up to this number of combinations, all are simulated
+MAX_EXHAUSTIVE = 1500  # up to this number of combinations, all are simulated
 NO_REGION: list[str | None] = [None]
 
 
 def sample_worlds(plan: Plan, expectations: Sequence[Expectation], seed: int) -> list[World]:
     """Returns worlds that cover every pair of factor values, and selected triples.
 
-    All combinations are returned if there are no more than EXHAUSTIVE. Equal seeds give equal worlds.
+    All combinations are returned if there are no more than MAX_EXHAUSTIVE. Equal seeds give equal worlds.
     """
-    jobs = sample_subjects(plan, expectations)
-    factors: list[Sequence[Any]] = [jobs, LOADS, ENDINGS, EVENTS, TARGETS, LAGS, MOMENTS, (1, 2), GAPS]
-    if math.prod(map(len, factors)) <= EXHAUSTIVE:
+    subjects = sample_subjects(plan, expectations)
+    factors: list[Sequence[Any]] = [
+        subjects, LOADS, ENDINGS, EVENTS, TARGETS, LAGS_MS, EVENT_TIMES_MS, (1, 2), GAPS_MS]
+    if math.prod(map(len, factors)) <= MAX_EXHAUSTIVE:
         rows: Iterable[Any] = product(*factors)
     else:
-        rows = [*AllPairs(factors), *_triples(jobs)]
+        rows = [*AllPairs(factors), *_triples(subjects)]
     rng = random.Random(seed)
     worlds = []
     for subject, load, ending, event, target, lag, at, servers, gap in rows:
-        told_late = event in TOLD_LATE
+        is_listed = event in LISTED_EVENTS
         arrivals = COLD_ARRIVALS if event in ("restart", "back") else ARRIVALS
         worlds.append(World(
             subject.request_class, subject.region, subject.key, subject.tenant, subject.client,
             subject.resent, servers=servers, load=load, ending=ending, event=event,
             target=target if event != "none" else "one", at=at if event != "none" else 300,
-            lag=lag if told_late else 0, arrivals=arrivals[gap], gap=gap, seed=rng.randrange(1, 10_000)))
+            lag=lag if is_listed else 0, arrivals=arrivals[gap], gap=gap, seed=rng.randrange(1, 10_000)))
     return list(dict.fromkeys(worlds))
 
 
-def _triples(jobs: Sequence[Subject]) -> Iterator[tuple[Any, ...]]:
+def _triples(subjects: Sequence[Subject]) -> Iterator[tuple[Any, ...]]:
     """Yields triples of subject, event and time, with every lag, and of class, ending and load.
 
     The remaining factors cycle through their values.
     """
-    turn = 0
-    for subject, event in product(jobs, EVENTS[1:]):
-        for at, lag in product(MOMENTS, LAGS) if event in TOLD_LATE else product(MOMENTS, (0,)):
-            turn += 1
-            if event in TOLD_LATE and (turn + at) % 2:  # skip half of these; all pairs of lag and time remain
+    index = 0
+    for subject, event in product(subjects, EVENTS[1:]):
+        for at, lag in (product(EVENT_TIMES_MS, LAGS_MS) if event in LISTED_EVENTS
+                        else product(EVENT_TIMES_MS, (0,))):
+            index += 1
+            # Skips half of these; all pairs of lag and time remain.
+            if event in LISTED_EVENTS and (index + at) % 2:
                 continue
-            yield (subject, LOADS[turn % 2], "served", event, TARGETS[turn // 2 % 3], lag, at,
-                   1 + turn // 3 % 2, GAPS[turn // 5 % 2])
-    plain = {subject.request_class: subject for subject in reversed(jobs)}.values()
-    for subject, ending, load in product(plain, ENDINGS, LOADS):
-        yield subject, load, ending, "none", "one", 0, 0, 1, GAPS[0]
+            yield (subject, LOADS[index % 2], "served", event, TARGETS[index // 2 % 3], lag, at,
+                   1 + index // 3 % 2, GAPS_MS[index // 5 % 2])
+    by_class = {subject.request_class: subject for subject in reversed(subjects)}.values()
+    for subject, ending, load in product(by_class, ENDINGS, LOADS):
+        yield subject, load, ending, "none", "one", 0, 0, 1, GAPS_MS[0]
 
 
 def sample_subjects(plan: Plan, expectations: Sequence[Expectation]) -> list[Subject]:
--- a/arrowfold/expectations/virtual_clock.py
+++ b/arrowfold/expectations/virtual_clock.py
@@ -19,30 +19,30 @@
         """Returns the current virtual time."""
         return self.time
 
-    def call_at(self, when: timedelta, call: Callable[[], None]) -> _Timer:
+    def call_at(self, when: timedelta, callback: Callable[[], None]) -> _Timer:
         """Schedules a call at a time, at once if that has passed; equal times keep their order."""
         self._count += 1
-        timer = _Timer(call)
+        timer = _Timer(callback)
         heapq.heappush(self._heap, (max(when, self.time), self._count, timer))
         return timer
 
-    def call_later(self, delay: timedelta, call: Callable[[], None]) -> _Timer:
+    def call_later(self, delay: timedelta, callback: Callable[[], None]) -> _Timer:
         """Schedules a call after a delay."""
-        return self.call_at(self.time + delay, call)
+        return self.call_at(self.time + delay, callback)
 
-    def run(self, until: timedelta, over: Callable[[], bool]) -> None:
-        """Runs due timers in order, up to a time or until `over` returns true."""
-        while self._heap and self._heap[0][0] <= until and not over():
+    def run(self, until: timedelta, is_over: Callable[[], bool]) -> None:
+        """Runs due timers in order, up to a time or until `is_over` returns true."""
+        while self._heap and self._heap[0][0] <= until and not is_over():
             self.time, _, timer = heapq.heappop(self._heap)
-            if timer.call is not None:
-                timer.call()
+            if timer.callback is not None:
+                timer.callback()
 
 
 class _Timer:
-    __slots__ = ("call",)
+    __slots__ = ("callback",)
 
-    def __init__(self, call: Callable[[], None]) -> None:
-        self.call: Callable[[], None] | None = call
+    def __init__(self, callback: Callable[[], None]) -> None:
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
-        self.call = None
+        self.callback = None
--- a/arrowfold/expectations/world.py
+++ b/arrowfold/expectations/world.py
@@ -63,28 +63,29 @@
             world = World(**row)
         except (ValueError, TypeError) as error:
             raise TokenError(f"{token[:40]!r} is no token of a world") from error
-        known = ((world.load, LOADS), (world.ending, ENDINGS), (world.event, EVENTS), (world.target, TARGETS))
-        figures = (world.servers, world.at, world.lag, world.arrivals, world.gap, world.seed)
-        if any(value not in names for value, names in known) or not all(
-                isinstance(n, int) and 0 <= n <= 100_000 for n in figures) or world.arrivals > 1000:
+        allowed = (
+            (world.load, LOADS), (world.ending, ENDINGS), (world.event, EVENTS), (world.target, TARGETS))
+        numbers = (world.servers, world.at, world.lag, world.arrivals, world.gap, world.seed)
+        if any(value not in names for value, names in allowed) or not all(
+                isinstance(n, int) and 0 <= n <= 100_000 for n in numbers) or world.arrivals > 1000:
             raise TokenError(f"{token[:40]!r} is no token of a world")
         return world
 
     def words(self) -> str:
         """Returns a description in one line."""
-        said = [self.request_class]
-        said += [f"{name} {value}" for name, value in (
+        parts = [self.request_class]
+        parts += [f"{name} {value}" for name, value in (
             ("region", self.region), ("key", self.key), ("tenant", self.tenant), ("from", self.client))
             if value]
-        said += ["a retry"] if self.resent else []
-        said.append(f"{self.arrivals} arrivals {self.gap} ms apart" if self.arrivals > 1 else "1 arrival")
-        said.append(f"{self.servers} server{'s'[:self.servers > 1]} a zone and kind, {self.load}")
+        parts += ["a retry"] if self.resent else []
+        parts.append(f"{self.arrivals} arrivals {self.gap} ms apart" if self.arrivals > 1 else "1 arrival")
+        parts.append(f"{self.servers} server{'s'[:self.servers > 1]} a zone and kind, {self.load}")
         if self.ending != "served":
-            said.append(f"first attempts end {self.ending}")
+            parts.append(f"first attempts end {self.ending}")
         if self.event != "none":
-            said.append(f"{self.event} of {self.target} at {self.at} ms")
-            said.append(f"told {self.lag} ms later")
-        return ", ".join(said)
+            parts.append(f"{self.event} of {self.target} at {self.at} ms")
+            parts.append(f"told {self.lag} ms later")
+        return ", ".join(parts)
 
 
 _DEFAULTS: dict[str, Any] = {f.name: f.default for f in fields(World) if f.name != "request_class"}
--- a/arrowfold/expectations/worlds.py
+++ b/arrowfold/expectations/worlds.py
@@ -13,21 +13,21 @@
 
 from arrowfold import interface as api
 from arrowfold.expectations.history import History, Own, State
-from arrowfold.expectations.memory_server import MS, SLOTS, SimServer
-from arrowfold.expectations.recorder import Recorder, Silent
+from arrowfold.expectations.memory_server import MS, SLOTS, SimulatedServer
+from arrowfold.expectations.recorder import DiscardingClient, Recorder
 from arrowfold.expectations.virtual_clock import START, Clock
 from arrowfold.expectations.world import ENDINGS, EVENTS, LOADS, TARGETS, Plan, TokenError, World
 from arrowfold.quotas.gate import Gate
 from arrowfold.routing.session import Job, to_us
 from arrowfold.routing.table import Row
 
-__all__ = ["ENDINGS", "EVENTS", "LOADS", "TARGETS", "Plan", "Stage", "TokenError", "World", "play"]
+__all__ = ["ENDINGS", "EVENTS", "LOADS", "TARGETS", "Plan", "Simulation", "TokenError", "World", "play"]
 
-FIRST = 100 * MS  # time from the first list to the first arrival
-TAIL = timedelta(seconds=1)  # simulated time after the last deadline
+FIRST_ARRIVAL_DELAY = 100 * MS  # time from the first list to the first arrival
+TAIL_TIME = timedelta(seconds=1)  # simulated time after the last deadline
 
 
-class Stage:
+class Simulation:
     """One simulation of a world."""
 
     def __init__(self, world: World, plan: Plan) -> None:
@@ -49,81 +49,83 @@
         pairs = [pair for pair in plan.fleet for _ in range(world.servers)]
         names = [f"s{number}" for number in range(len(pairs))]
         self.random.shuffle(names)
-        self.servers = [SimServer(self, name, zone, kind)
+        self.servers = [SimulatedServer(self, name, zone, kind)
                         for name, (zone, kind) in zip(names, pairs, strict=True)]
-        self._load()
+        self._set_load()
 
-    def _preferred(self) -> Collection[str]:
+    def _preferred_zones(self) -> Collection[str]:
         """Returns the zones preferred for the request; the node's own zone if no route applies."""
         found = self.core.routes.find(self.world.subject()) if self.core.routes is not None else None
         if found is not None and found[1] is not None and found[1].zones:
             return found[1].zones[0]
         return {self.plan.settings.zone}
 
-    def _load(self) -> None:
-        preferred = self._preferred()
+    def _set_load(self) -> None:
+        preferred = self._preferred_zones()
         for server in self.servers:
-            server.full = self.world.load == "all-full" or (
+            server.is_full = self.world.load == "all-full" or (
                 self.world.load == "region-full" and server.zone in preferred)
-            server.busy = SLOTS // 2 if self.world.load == "busy" else 0
+            server.busy_slots = SLOTS // 2 if self.world.load == "busy" else 0
 
     def play(self) -> History:
         """Runs the simulation from the first list to the last answer and returns its history."""
         world, core, clock = self.world, self.core, self.clock
         core.list_servers("list", self._rows(self.servers), api.RosterMode.COMPLETE)
-        begin = START + FIRST
+        begin = START + FIRST_ARRIVAL_DELAY
         for number in range(world.arrivals):
-            clock.call_at(begin + number * world.gap * MS, lambda n=number: self._arrive(n))  # type: ignore[misc]
+            clock.call_at(begin + number * world.gap * MS, lambda n=number: self._submit(n))  # type: ignore[misc]
         if world.event != "none":
-            clock.call_at(begin + world.at * MS - 3 * MS, self._happen)
+            clock.call_at(begin + world.at * MS - 3 * MS, self._trigger_event)
         last = begin + world.arrivals * world.gap * MS
         longest = timedelta(microseconds=max(cls.deadline_us for cls in self.plan.settings.classes))
-        clock.run(last + longest + TAIL, lambda: (
+        clock.run(last + longest + TAIL_TIME, lambda: (
             self.arrived == world.arrivals and not core.sessions and clock.time >= last))
         self.history.until = clock.time
         self.history.sights.sort(key=lambda sight: sight.at)
         return self.history
 
-    def _rows(self, servers: Collection[SimServer]) -> list[Row]:
+    def _rows(self, servers: Collection[SimulatedServer]) -> list[Row]:
         return [(server.entry(), server) for server in servers]
 
-    def _arrive(self, number: int) -> None:
-        world, cls = self.world, self._class()
+    def _submit(self, number: int) -> None:
+        world, cls = self.world, self._request_class()
         self.arrived += 1
         limit_us = cls.deadline_us if cls is not None else 1_000_000
         deadline = self.clock.now() + timedelta(microseconds=limit_us)
         name = f"job-{number}"
         session = self.core.take(Job(
             name, world.request_class, deadline, b"", world.key, f"key-{number}", world.tenant,
-            resent=world.resent, region=world.region, client=world.client, account=world.tenant), Silent())
+            resent=world.resent, region=world.region, client=world.client, account=world.tenant),
+            DiscardingClient())
         if world.event == "clients-leave" and number % 2 == 0:
             self.clock.call_later(40 * MS, lambda: self.core.leave(session))
 
-    def _class(self) -> api.RequestClass | None:
+    def _request_class(self) -> api.RequestClass | None:
         return next((c for c in self.plan.settings.classes if c.name == self.world.request_class), None)
 
     # --- events ------------------------------------------------------------------------------------------
 
-    def _befallen(self) -> list[SimServer]:
+    def _affected_servers(self) -> list[SimulatedServer]:
         if self.world.target == "all":
             return self.servers
-        preferred = self._preferred()
-        here = [server for server in self.servers if server.zone in preferred] or self.servers
-        return here if self.world.target == "region" else here[:1]
-
-    def _happen(self) -> None:
-        happenings: Mapping[str, Callable[[list[SimServer]], None]] = {
-            "drain": self._drain, "gone": self._gone, "vanish": self._gone, "restart": self._restart,
-            "maintenance": self._maintain, "back": self._maintain, "silent": self._fall_silent}
-        if self.world.event in happenings:
-            happenings[self.world.event](self._befallen())
+        preferred = self._preferred_zones()
+        in_zones = [server for server in self.servers if server.zone in preferred] or self.servers
+        return in_zones if self.world.target == "region" else in_zones[:1]
+
+    def _trigger_event(self) -> None:
+        handlers: Mapping[str, Callable[[list[SimulatedServer]], None]] = {
+            "drain": self._drain, "gone": self._stop, "vanish": self._stop, "restart": self._restart,
+            "maintenance": self._start_maintenance, "back": self._start_maintenance,
+            "silent": self._make_silent}
+        if self.world.event in handlers:
+            handlers[self.world.event](self._affected_servers())
         elif self.world.event == "list-lost":
             self.core.list_failed()
         elif self.world.event == "fewer-attempts":
             fewer = min(self.plan.settings.attempt_cap, 2)
             self.core.change_settings(replace(self.plan.settings, attempt_cap=fewer), 30_000)
 
-    def _tell(self, servers: list[SimServer], lag: timedelta) -> None:
+    def _update_list(self, servers: list[SimulatedServer], lag: timedelta) -> None:
         """Updates the worker list after the lag, with the state at the time of the event.
 
         The delay is at least 1 ms, so that no update is simultaneous with its event.
@@ -131,53 +133,53 @@
         lag = max(lag, MS)
         rows = self._rows(servers)
         if self.world.event == "vanish":
-            whole = self._rows([server for server in self.servers if server not in servers])
+            remaining = self._rows([server for server in self.servers if server not in servers])
             self.clock.call_later(
-                lag, lambda: self.core.list_servers("list", whole, api.RosterMode.COMPLETE))
+                lag, lambda: self.core.list_servers("list", remaining, api.RosterMode.COMPLETE))
         else:
             self.clock.call_later(lag, lambda: self.core.list_servers("list", rows))
 
-    def _did(self, servers: list[SimServer], state: State) -> None:
+    def _record_own(self, servers: list[SimulatedServer], state: State) -> None:
         self.history.own += [Own(self.clock.now(), server.name, state) for server in servers]
 
-    def _drain(self, servers: list[SimServer]) -> None:
+    def _drain(self, servers: list[SimulatedServer]) -> None:
         for server in servers:
             server.state = api.Lifecycle.TERMINATING
-        self._did(servers, State.DRAINING)
-        self._tell(servers, self.world.lag * MS)
+        self._record_own(servers, State.DRAINING)
+        self._update_list(servers, self.world.lag * MS)
 
-    def _gone(self, servers: list[SimServer]) -> None:
+    def _stop(self, servers: list[SimulatedServer]) -> None:
         for server in servers:
-            server.dead, server.state = True, api.Lifecycle.TERMINATED
+            server.is_stopped, server.state = True, api.Lifecycle.TERMINATED
             server.kill()
-        self._did(servers, State.GONE)
-        self._tell(servers, self.world.lag * MS)
+        self._record_own(servers, State.GONE)
+        self._update_list(servers, self.world.lag * MS)
 
-    def _restart(self, servers: list[SimServer]) -> None:
+    def _restart(self, servers: list[SimulatedServer]) -> None:
         for server in servers:
             server.launched_us = to_us(self.clock.now())
             server.kill()
-        self._did(servers, State.IN_SERVICE)
-        self._tell(servers, self.world.lag * MS)
+        self._record_own(servers, State.IN_SERVICE)
+        self._update_list(servers, self.world.lag * MS)
 
-    def _maintain(self, servers: list[SimServer]) -> None:
+    def _start_maintenance(self, servers: list[SimulatedServer]) -> None:
         """Takes servers out by an operator's command, which takes effect at once.
 
         The worker list keeps reporting them as in service.
         """
         for server in servers:
             self.core.take_out(server.name)
-        self._tell(servers, 300 * MS)
+        self._update_list(servers, 300 * MS)
         if self.world.event == "back":
             for server in servers:
                 self.clock.call_later(600 * MS, lambda name=server.name: self.core.bring_back(name))  # type: ignore[misc]
 
-    def _fall_silent(self, servers: list[SimServer]) -> None:
+    def _make_silent(self, servers: list[SimulatedServer]) -> None:
         for server in servers:
-            server.silent = True
+            server.is_silent = True
 
 
 def play(world: World, plan: Plan) -> History:
     """Simulates a world and returns its history."""
-    return Stage(world, plan).play()
+    return Simulation(world, plan).play()
 
