--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -1,7 +1,7 @@
-"""Single faults, put into the decisions, the core or the routes at run time; for each, who is to notice.
+"""Mutation tests of the expectations: single faults, injected into the decisions, the core or the routes.
 
-`python -m benchmarks.faults` plays the whole document against each fault, over all cores, and prints the
-table of docs/mutations.md.
+`python -m benchmarks.faults` checks the whole document against each fault, on all processor cores, and prints
+the table of docs/mutations.md: which expectations detect which fault.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from arrowfold.state import Request
 
 ROOT = Path(__file__).parent.parent
-MORE = """
+EXTRA_EXPECTATIONS = """
     expect "a payment that may have run is never run again" {
         when {
             class "payment"
@@ -46,7 +46,7 @@
         only-reaches region="east"
     }
 """
-EAST = """
+EXTRA_RULE = """
     rule "payments in the east" {
         class "payment"
         key "k"
@@ -56,13 +56,14 @@
 
 
 def document(folder: Path) -> tuple[EdgeDocument, Check]:
-    """The shipped document, with a class that is not safe to repeat."""
-    conf: Any = json.loads((ROOT / "deploy/settings.json").read_text())
-    payment = {**conf["settings"]["classes"][0], "name": "payment", "idempotency": "unsafe"}
-    conf["settings"]["classes"].append(payment)
-    (folder / "settings.json").write_text(json.dumps(conf))
+    """Returns the shipped document, extended by a class of requests that are not safe to repeat."""
+    configuration: Any = json.loads((ROOT / "deploy/settings.json").read_text())
+    payment = {**configuration["settings"]["classes"][0], "name": "payment", "idempotency": "unsafe"}
+    configuration["settings"]["classes"].append(payment)
+    (folder / "settings.json").write_text(json.dumps(configuration))
     text = (ROOT / "deploy/edge.kdl").read_text()
-    text = text.replace("expectations {", "expectations {" + MORE).replace("routes {", "routes {" + EAST)
+    text = text.replace("expectations {", "expectations {" + EXTRA_EXPECTATIONS).replace(
+        "routes {", "routes {" + EXTRA_RULE)
     (folder / "edge.kdl").write_text(text)
     read = read_edge(folder / "edge.kdl")
     return read, Check(_plan(read, None), read.expectations)
@@ -70,7 +71,11 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault: what is patched, and the expectation that notices (None: none does, and why)."""
+    """One fault: the patches that inject it, and the expectation that detects it.
+
+    `noticed` is None if no expectation detects it; `why` then holds the reason. A patch is the class, the
+    name of its attribute and the new value.
+    """
 
     name: str
     patches: tuple[tuple[type, str, Any], ...]
@@ -78,7 +83,8 @@
     why: str = ""
 
     @contextmanager
-    def put_in(self) -> Iterator[None]:
+    def inject(self) -> Iterator[None]:
+        """Applies the patches for the duration of the context."""
         with ExitStack() as stack:
             for owner, name, value in self.patches:
                 stack.enter_context(patch.object(owner, name, value))
@@ -91,7 +97,7 @@
 _on_roster, _judge, _dispatch = Dispatcher._on_roster, Dispatcher._judge, Core._dispatch
 
 
-def _serving_whatever(state: api.Lifecycle) -> Callable[..., None]:
+def _treating_as_in_service(state: api.Lifecycle) -> Callable[..., None]:
     def enter(self: Dispatcher, entry: api.RosterEntry) -> None:
         if entry.lifecycle is state:
             entry = replace(entry, lifecycle=api.Lifecycle.IN_SERVICE)
@@ -100,18 +106,18 @@
     return enter
 
 
-def _partial_only(self: Dispatcher, event: api.RosterUpdate) -> None:
+def _complete_as_partial(self: Dispatcher, event: api.RosterUpdate) -> None:
     if event.mode is api.RosterMode.COMPLETE and self.workers:
         event = replace(event, mode=api.RosterMode.PARTIAL)
     _on_roster(self, event)
 
 
-def _forgetful(self: ServerTable, source: str, rows: Any) -> api.RosterUpdate:
+def _forgetting_maintenance(self: ServerTable, source: str, rows: Any) -> api.RosterUpdate:
     self.out.clear()
     return _change(self, source, rows)
 
 
-def _more_attempts(self: Core, settings: api.Settings, *rest: Any, **named: Any) -> None:
+def _with_nine_attempts(self: Core, settings: api.Settings, *rest: Any, **named: Any) -> None:
     _core_init(self, replace(settings, attempt_cap=9), *rest, **named)
 
 
@@ -119,17 +125,17 @@
     _consult(self, replace(event, reach=None) if isinstance(event, api.Arrival) else event)
 
 
-def _reversed(self: Action, regions: Any) -> api.Reach | None:
+def _with_regions_reversed(self: Action, regions: Any) -> api.Reach | None:
     reach = _reach(self, regions)
     return reach and replace(reach, zones=reach.zones[::-1])
 
 
-def _others_too(self: Action, regions: Any) -> api.Reach | None:
+def _with_other_regions(self: Action, regions: Any) -> api.Reach | None:
     reach = _reach(self, regions)
     return reach and replace(reach, others=True)
 
 
-def _any_kind(self: Action, regions: Any) -> api.Reach | None:
+def _without_kinds(self: Action, regions: Any) -> api.Reach | None:
     reach = _reach(self, regions)
     return reach and replace(reach, kinds=frozenset())
 
@@ -137,48 +143,48 @@
 def _last_match(self: RouteTable, subject: Any) -> Any:
     found = None
     for number, rule in enumerate(self.routes.rules):
-        one = RouteTable(replace(self.routes, rules=(rule,)))
-        if _find(one, subject) is not None:
+        single = RouteTable(replace(self.routes, rules=(rule,)))
+        if _find(single, subject) is not None:
             found = rule, self.reaches[number]
     return found
 
 
-def _never_denied(self: RouteTable, subject: Any) -> Any:
+def _without_denials(self: RouteTable, subject: Any) -> Any:
     found = _find(self, subject)
     return None if found is not None and found[0].action.deny else found
 
 
-def _with_retry_after(span: timedelta | None) -> Callable[..., Any]:
+def _with_retry_after(delay: timedelta | None) -> Callable[..., Any]:
     def find(self: RouteTable, subject: Any) -> Any:
         found = _find(self, subject)
         if found is not None and found[0].action.deny:
-            rule = replace(found[0], action=replace(found[0].action, retry_after=span))
+            rule = replace(found[0], action=replace(found[0].action, retry_after=delay))
             return rule, None
         return found
 
     return find
 
 
-def _resent_wrong(self: RouteTable, subject: Any) -> Any:
+def _with_resent_inverted(self: RouteTable, subject: Any) -> Any:
     return _find(self, replace(subject, resent=not subject.resent))
 
 
-def _no_part(self: Any, value: str | None) -> int:
+def _matching_nothing(self: Any, value: str | None) -> int:
     return int(self.any)
 
 
-def _every_rule(self: _Part, value: str | None) -> int:
+def _matching_everything(self: _Part, value: str | None) -> int:
     every = self.any
     for mask in self.by_value.values():
         every |= mask
     return every
 
 
-def _only_v4(self: _NetworkPart, client: str | None) -> int:
+def _without_ipv6(self: _NetworkPart, client: str | None) -> int:
     return self.any if client is None or ":" in client else int(self.trees[4].get(client, self.any))
 
 
-def _ends_on(*statuses: api.Status) -> tuple[Callable[..., None], Callable[..., None]]:
+def _ending_on(*statuses: api.Status) -> tuple[Callable[..., None], Callable[..., None]]:
     def seek(self: Dispatcher, request: Request, tier: int = 0) -> None:
         if request.attempts and self.last_status in statuses:  # type: ignore[attr-defined]
             self._end(request)
@@ -192,8 +198,8 @@
     return seek, judge
 
 
-def _no_repeat(name: str, noticed: str, *statuses: api.Status) -> Fault:
-    seek, judge = _ends_on(*statuses)
+def _without_retry(name: str, noticed: str, *statuses: api.Status) -> Fault:
+    seek, judge = _ending_on(*statuses)
     return Fault(name, ((Dispatcher, "_seek", seek), (Dispatcher, "_judge", judge)), noticed)
 
 
@@ -204,67 +210,70 @@
         _crowded(self, request, fit)
 
 
-def _last_tier_first(self: Dispatcher, request: Request, tier: int = 0) -> None:
+def _starting_at_last_tier(self: Dispatcher, request: Request, tier: int = 0) -> None:
     _seek(self, request, request.reach.last if request.reach else tier)
 
 
-def _answer_later(self: Core, session: Any, answer: Answer) -> None:
+def _delaying_answer(self: Core, session: Any, answer: Answer) -> None:
     if session.answered:
         return
     self.clock.call_at(self.clock.now() + timedelta(milliseconds=40), lambda: _answer(self, session, answer))
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     pass
 
 
-def _yes(*_: object) -> bool:
+def _return_true(*_: object) -> bool:
     return True
 
 
-def _warm(*_: object) -> float:
+def _return_full_warmth(*_: object) -> float:
     return 1.0
 
 
-def _unsafe_goes_on(self: Dispatcher, event: api.AttemptEnded) -> None:
+def _treating_unsafe_as_safe(self: Dispatcher, event: api.AttemptEnded) -> None:
     request = self.requests.get(event.request)
     if request is not None and request.cls.idempotency is api.Idempotency.UNSAFE:
         request.cls = replace(request.cls, idempotency=api.Idempotency.SAFE)
     _on_ended(self, event)
 
 
-def _refused_at_once(self: Dispatcher, request: Request) -> None:
+def _refusing_at_once(self: Dispatcher, request: Request) -> None:
     self._end(request)
 
 
-def _leaves_open(self: Core, session: Any) -> None:
+def _without_expiry(self: Core, session: Any) -> None:
     pass
 
 
-DRAIN = "nothing goes to a worker a second after it is told to drain"
+DRAIN_EXPECTATION = "nothing goes to a worker a second after it is told to drain"
 FAULTS = (
-    Fault("drains ignored", ((Dispatcher, "_enter", _serving_whatever(api.Lifecycle.TERMINATING)),), DRAIN),
+    Fault("drains ignored", ((Dispatcher, "_enter", _treating_as_in_service(api.Lifecycle.TERMINATING)),),
+          DRAIN_EXPECTATION),
     Fault("the end of a server ignored", (
-        (Dispatcher, "_enter", _serving_whatever(api.Lifecycle.TERMINATED)),
-        (ServerTable, "find", lambda self, name: _any_server(self, name))),
+        (Dispatcher, "_enter", _treating_as_in_service(api.Lifecycle.TERMINATED)),
+        (ServerTable, "find", lambda self, name: _find_removed_too(self, name))),
         "a search never goes to a worker that is gone"),
     Fault("who is not in a whole list stays", (
-        (Dispatcher, "_on_roster", _partial_only),
-        (ServerTable, "find", lambda self, name: _any_server(self, name))),
+        (Dispatcher, "_on_roster", _complete_as_partial),
+        (ServerTable, "find", lambda self, name: _find_removed_too(self, name))),
         "a search never goes to a worker that is gone"),
-    Fault("maintenance forgotten after a list", ((ServerTable, "change", _forgetful),),
+    Fault("maintenance forgotten after a list", ((ServerTable, "change", _forgetting_maintenance),),
           "maintenance holds, whatever the list says"),
     Fault("maintenance not told to the module, nor guarded", (
         (ServerTable, "_seen", lambda self, entry: entry), (Core, "_dispatch", None)),
         "maintenance holds, whatever the list says"),
-    Fault("attempt cap off", ((Core, "__init__", _more_attempts),), "no job is tried more than four times"),
-    Fault("regions in reverse", ((Action, "reach", _reversed),),
+    Fault("attempt cap off", ((Core, "__init__", _with_nine_attempts),),
+          "no job is tried more than four times"),
+    Fault("regions in reverse", ((Action, "reach", _with_regions_reversed),),
           "cardiff's searches stay in cardiff while it has room"),
-    Fault("only taken for prefer", ((Action, "reach", _others_too),), "archives are read in bridgend alone"),
-    Fault("kinds ignored", ((Action, "reach", _any_kind),), "the enterprise searches on gen-a"),
+    Fault("only taken for prefer", ((Action, "reach", _with_other_regions),),
+          "archives are read in bridgend alone"),
+    Fault("kinds ignored", ((Action, "reach", _without_kinds),), "the enterprise searches on gen-a"),
     Fault("what a route leaves not told to the module", ((Core, "_consult", _without_arrival_reach),),
           "archives are read in bridgend alone"),
-    Fault("denials ignored", ((RouteTable, "find", _never_denied),),
+    Fault("denials ignored", ((RouteTable, "find", _without_denials),),
           "the documentation networks are denied, and told when to come back"),
     Fault("no advice with a denial", ((RouteTable, "find", _with_retry_after(None)),),
           "the documentation networks are denied, and told when to come back"),
@@ -272,50 +281,54 @@
           "the documentation networks are denied, and told when to come back"),
     Fault("the last match wins", ((RouteTable, "find", _last_match),),
           "cardiff's retried lookups stay cardiff's"),
-    Fault("retries taken for first tries", ((RouteTable, "find", _resent_wrong),),
+    Fault("retries taken for first tries", ((RouteTable, "find", _with_resent_inverted),),
           "retried lookups prefer the east"),
-    Fault("regions and tenants never match", ((_Part, "of", _no_part),), "the enterprise searches on gen-a"),
-    Fault("every region, class and tenant matches", ((_Part, "of", _every_rule),),
+    Fault("regions and tenants never match", ((_Part, "of", _matching_nothing),),
+          "the enterprise searches on gen-a"),
+    Fault("every region, class and tenant matches", ((_Part, "of", _matching_everything),),
           "archives are read in bridgend alone"),
-    Fault("keys never match", ((_KeyPart, "of", _no_part),), "archives are read in bridgend alone"),
-    Fault("networks never match", ((_NetworkPart, "of", _no_part),),
+    Fault("keys never match", ((_KeyPart, "of", _matching_nothing),), "archives are read in bridgend alone"),
+    Fault("networks never match", ((_NetworkPart, "of", _matching_nothing),),
           "the documentation networks are denied, and told when to come back"),
-    Fault("IPv6 never matches", ((_NetworkPart, "of", _only_v4),),
+    Fault("IPv6 never matches", ((_NetworkPart, "of", _without_ipv6),),
           "IPv6 documentation networks are denied too"),
     Fault("no way on from the preferred region", ((Dispatcher, "_crowded", _first_tier_only),),
           "cardiff's searches are served elsewhere when cardiff has no room"),
-    Fault("all regions at once", ((Dispatcher, "_seek", _last_tier_first),),
+    Fault("all regions at once", ((Dispatcher, "_seek", _starting_at_last_tier),),
           "cardiff's searches stay in cardiff while it has room"),
-    Fault("cold budget off", ((Dispatcher, "_cold_turn", _yes),), "a cold worker is not pushed over"),
-    Fault("starts forgotten", ((Dispatcher, "_warmth", _warm),), "a cold worker is not pushed over"),
-    Fault("silence overlooked", ((Dispatcher, "_overdue", _nothing),),
+    Fault("cold budget off", ((Dispatcher, "_cold_turn", _return_true),), "a cold worker is not pushed over"),
+    Fault("starts forgotten", ((Dispatcher, "_warmth", _return_full_warmth),),
+          "a cold worker is not pushed over"),
+    Fault("silence overlooked", ((Dispatcher, "_overdue", _do_nothing),),
           "a lookup that hears nothing is sent elsewhere"),
-    _no_repeat("no repeat when turned away", "a search that was turned away is tried again", api.Status.FULL),
-    _no_repeat("no repeat when refused", "a commit-record that could not be handed over is tried again",
-               api.Status.CONNECT_FAILED),
-    _no_repeat("no repeat after an error", "a search that was turned away is tried again", api.Status.ERROR),
-    Fault("unsafe jobs repeated", ((Dispatcher, "_on_ended", _unsafe_goes_on),),
+    _without_retry("no repeat when turned away", "a search that was turned away is tried again",
+                   api.Status.FULL),
+    _without_retry("no repeat when refused", "a commit-record that could not be handed over is tried again",
+                   api.Status.CONNECT_FAILED),
+    _without_retry("no repeat after an error", "a search that was turned away is tried again",
+                   api.Status.ERROR),
+    Fault("unsafe jobs repeated", ((Dispatcher, "_on_ended", _treating_unsafe_as_safe),),
           "a payment that may have run is never run again"),
-    Fault("answers held back for 40 ms", ((Core, "_answer", _answer_later),),
+    Fault("answers held back for 40 ms", ((Core, "_answer", _delaying_answer),),
           "a result is passed on at once"),
-    Fault("deadlines lost", ((Dispatcher, "_end", _nothing), (Core, "_expire", _leaves_open)),
+    Fault("deadlines lost", ((Dispatcher, "_end", _do_nothing), (Core, "_expire", _without_expiry)),
           "every search is answered by its deadline"),
-    Fault("nobody waits here", ((Dispatcher, "_hold", _refused_at_once),),
+    Fault("nobody waits here", ((Dispatcher, "_hold", _refusing_at_once),),
           None, "who would have waited is denied at once, which no expectation of the document forbids"),
-    Fault("slots that come free pull nobody", ((Dispatcher, "_pull", _nothing),),
+    Fault("slots that come free pull nobody", ((Dispatcher, "_pull", _do_nothing),),
           None, "who waits is looked at again soon after: later, but in time"),
 )
 
 
-def _any_server(table: ServerTable, name: str) -> Any:
-    """A server, though its row has left the table."""
+def _find_removed_too(table: ServerTable, name: str) -> Any:
+    """Returns a server even after its row was removed from the table."""
     kept = table.__dict__.setdefault("kept", {})
     for rows in table._sources.values():
         kept.update({uid: row[1] for uid, row in rows.items()})
     return kept.get(name)
 
 
-def _unguarded(self: Core, session: Any, order: api.Send) -> None:
+def _dispatch_without_maintenance(self: Core, session: Any, order: api.Send) -> None:
     out, self.table.out = self.table.out, {}
     try:
         _dispatch(self, session, order)
@@ -324,31 +337,32 @@
 
 
 FAULTS = tuple(replace(fault, patches=tuple(
-    (owner, name, _unguarded if value is None else value) for owner, name, value in fault.patches))
+    (owner, name, _dispatch_without_maintenance if value is None else value)
+    for owner, name, value in fault.patches))
     for fault in FAULTS)
 
 
 def caught(fault: Fault, only: str | None = None) -> list[str]:
-    """The expectations that no longer hold with the fault in; of all, or whether this one does."""
+    """Returns the expectations that no longer hold with the fault; checks only `only` if it is given."""
     with tempfile.TemporaryDirectory() as folder:
         read, check = document(Path(folder))
-    with fault.put_in():
+    with fault.inject():
         reports = Check(check.plan, read.expectations).run(explain=False, only=[only] if only else ())
     return [report.name for report in reports if report.verdict != "holds"]
 
 
-def _row(number: int) -> tuple[str, list[str]]:
+def _measure(number: int) -> tuple[str, list[str]]:
     return FAULTS[number].name, caught(FAULTS[number])
 
 
 def main() -> int:
-    """Print the table; 0 if 23 or more are caught."""
+    """Prints the table. Returns 0 if at least 23 faults are detected."""
     none = Fault("none", (), None)
-    if left := caught(none):
-        print(f"without a fault these do not hold: {left}", file=sys.stderr)
+    if failing := caught(none):
+        print(f"without a fault these do not hold: {failing}", file=sys.stderr)
         return 1
     with ProcessPoolExecutor() as pool:
-        rows = list(pool.map(_row, range(len(FAULTS))))
+        rows = list(pool.map(_measure, range(len(FAULTS))))
     found = sum(bool(names) for _, names in rows)
     print(f"{found} of {len(rows)} faults are caught.\n\n| fault | caught by | others |\n| --- | --- | --- |")
     for (name, names), fault in zip(rows, FAULTS, strict=True):
