--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -73,7 +73,7 @@
 class Fault:
     """One fault: the patches that inject it, and the expectation that detects it.
 
-    `noticed` is None if no expectation detects it; `why` then holds the reason. A patch is the class, the
+    The expectation is None if none detects the fault; `why` then holds the reason. A patch is the class, the
     name of its attribute and the new value.
     """
 
