--- a/arrowfold/expectations/check.py
+++ b/arrowfold/expectations/check.py
@@ -67,7 +67,8 @@
         """Yields the events of one world in order of time, then the expectations that it breaks."""
         history = play(world, self.plan)
         yield world.words()
-        rows = [(s.at, f"told: {s.server} ({s.zone}, {s.kind}) is {s.state.value}") for s in history.sights]
+        rows = [(s.at, f"told: {s.server} ({s.zone}, {s.kind}) is {s.state.value}")
+                for s in history.sights]
         rows += [(o.at, f"{o.server} by itself: {o.state.value}") for o in history.own]
         for session in history.lives:
             rows.append((session.arrived, f"{session.id} arrives"))
--- a/arrowfold/expectations/history.py
+++ b/arrowfold/expectations/history.py
@@ -300,7 +300,8 @@
 _STATUSES_WITHOUT_REPORT = frozenset({None, api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.MOOT})
 
 
-def sights_of(at: timedelta, update: api.RosterUpdate, known: dict[str, Sight]) -> Iterable[Sight]:
+def sights_of(
+        at: timedelta, update: api.RosterUpdate, known: dict[str, Sight]) -> Iterable[Sight]:
     """Yields the listed states that follow from one update of the worker list.
 
     `known` holds the last listed state of each server and is updated in place. A server that is missing from
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -366,7 +366,8 @@
     found = sum(bool(names) for _, names in rows)
     print(f"{found} of {len(rows)} faults are caught.\n\n| fault | caught by | others |\n| --- | --- | --- |")
     for (name, names), fault in zip(rows, FAULTS, strict=True):
-        first = fault.noticed if fault.noticed in names else names[0] if names else f"nobody: {fault.why}"
+        first = (fault.noticed if fault.noticed in names
+                 else names[0] if names else f"nobody: {fault.why}")
         print(f"| {name} | {first} | {max(0, len(names) - 1)} |")
     return 0 if found >= 23 else 1
 
