--- a/arrowfold/expectations/check.py
+++ b/arrowfold/expectations/check.py
@@ -1,4 +1,4 @@
-"""The check: plays worlds against the expectations, and says what breaks one, as small as it can be made."""
+"""Simulates worlds, evaluates the expectations over them, and minimizes a world that breaks one."""
 
 from __future__ import annotations
 
@@ -9,19 +9,22 @@
 from arrowfold.expectations.claims import Finding
 from arrowfold.expectations.contradictions import contradict
 from arrowfold.expectations.judgement import Expectation, Tally, judge_all, share_owed
-from arrowfold.expectations.plan_settings import path_of, settings_of
+from arrowfold.expectations.plan_settings import action_path, list_settings
 from arrowfold.expectations.reports import Report
 from arrowfold.expectations.sampling import sample_subjects, sample_worlds
 from arrowfold.expectations.worlds import TARGETS, Plan, World, play
 from arrowfold.routes.table import holds
 
-STEP = 50  # ms: how exactly the border of a lag is found
-DENSE_GAP = 20  # ms between arrivals while it is looked for
-FEW = 40  # worlds that stand for all when a setting's part in a verdict is looked for
+LAG_RESOLUTION_MS = 50  # resolution of the search for the least breaking lag
+DENSE_GAP_MS = 20  # interval between arrivals during that search
+VACUOUS_SAMPLE_SIZE = 40  # number of worlds simulated to find the settings that make an expectation vacuous
 
 
 class Check:
-    """One document, checked against a plan."""
+    """Checks the expectations of one document against a plan.
+
+    `played` counts the simulated worlds.
+    """
 
     def __init__(self, plan: Plan, expectations: Sequence[Expectation], seed: int = 1) -> None:
         self.plan, self.expectations, self.seed = plan, expectations, seed
@@ -29,25 +32,26 @@
         self.played = 0
 
     def run(self, explain: bool = True, only: Collection[str] = ()) -> list[Report]:
-        """A report for each expectation, or for those named alone, in their order.
+        """Returns a report for each expectation, or only for those named in `only`, in document order.
 
-        With `explain`, why one does not hold. The worlds are those of the whole document in either case.
+        With `explain`, a report also names the cause of a failure. The worlds are always sampled from the
+        whole document, so a restriction by `only` does not change them.
         """
-        chosen = [e for e in self.expectations if not only or e.name in only]
+        selected = [e for e in self.expectations if not only or e.name in only]
         worlds = [world for world in self.worlds()
-                  if any(holds(e.when.match, world.subject()) for e in chosen)]
-        reports = [Report(e.name, e.path, "vacuous") for e in chosen]
-        first_bad: list[list[World]] = [[] for _ in chosen]
+                  if any(holds(e.when.match, world.subject()) for e in selected)]
+        reports = [Report(e.name, e.path, "vacuous") for e in selected]
+        breaking_worlds: list[list[World]] = [[] for _ in selected]
         for world in worlds:
-            for number, tally in enumerate(self._tallies(world, self.plan, chosen)):
+            for number, tally in enumerate(self._tallies(world, self.plan, selected)):
                 report = reports[number]
                 report.worlds += bool(tally.applied)
                 report.good += tally.good
                 report.bad += len(tally.bad)
-                if _broken(chosen[number], tally):
-                    first_bad[number].append(world)
+                if _is_broken(selected[number], tally):
+                    breaking_worlds[number].append(world)
         for number, report in enumerate(reports):
-            expectation, bad = chosen[number], first_bad[number]
+            expectation, bad = selected[number], breaking_worlds[number]
             if not report.worlds:
                 report.verdict = "vacuous"
                 if explain:
@@ -56,24 +60,25 @@
             report.share = report.good / (report.good + report.bad)
             report.verdict = "holds" if report.share >= share_owed(expectation.claim) else "fails"
             if report.verdict == "fails" and bad and explain:
-                self._explain(expectation, report, bad)
+                self._explain_failure(expectation, report, bad)
         return reports
 
     def replay(self, world: World) -> Iterator[str]:
-        """One world told step by step, with what it breaks."""
+        """Yields the events of one world in order of time, then the expectations that it breaks."""
         history = play(world, self.plan)
         yield world.words()
-        rows = [(s.at, f"told: {s.server} ({s.zone}, {s.kind}) is {s.state.value}") for s in history.sights]
+        rows = [(s.at, f"told: {s.server} ({s.zone}, {s.kind}) is {s.state.value}")
+                for s in history.sights]
         rows += [(o.at, f"{o.server} by itself: {o.state.value}") for o in history.own]
-        for life in history.lives:
-            rows.append((life.arrived, f"{life.id} arrives"))
-            for a in life.attempts:
-                rows.append((a.sent, f"{life.id}: attempt {a.number} to {a.server}"))
+        for session in history.lives:
+            rows.append((session.arrived, f"{session.id} arrives"))
+            for a in session.attempts:
+                rows.append((a.sent, f"{session.id}: attempt {a.number} to {a.server}"))
                 if a.ended is not None and a.status is not None:
-                    rows.append((a.ended, f"{life.id}: attempt {a.number} ends {a.status.name.lower()}"))
-            if life.answered is not None:
-                by = f" by rule {life.rule!r}" if life.rule and not life.attempts else ""
-                rows.append((life.answered, f"{life.id}: {life.verdict}{by}"))
+                    rows.append((a.ended, f"{session.id}: attempt {a.number} ends {a.status.name.lower()}"))
+            if session.answered is not None:
+                by = f" by rule {session.rule!r}" if session.rule and not session.attempts else ""
+                rows.append((session.answered, f"{session.id}: {session.verdict}{by}"))
         for at, text in sorted(rows, key=lambda row: row[0]):
             yield f"  {at.total_seconds():10.3f}  {text}"
         for expectation, tally in zip(
@@ -82,7 +87,7 @@
                 yield f"breaks {expectation.name!r}: {finding.text}"
 
     def worlds(self) -> list[World]:
-        """The worlds that are played."""
+        """Returns the sampled worlds."""
         return sample_worlds(self.plan, self.expectations, self.seed)
 
     def _tallies(
@@ -90,104 +95,111 @@
         self.played += 1
         return judge_all(play(world, plan), expectations, self.regions)
 
-    # --- why it fails ------------------------------------------------------------------------------------
+    # --- explanation -------------------------------------------------------------------------------------
 
-    def _breaks(self, expectation: Expectation, world: World, plan: Plan) -> Finding | None:
+    def _find_violation(self, expectation: Expectation, world: World, plan: Plan) -> Finding | None:
         (tally,) = self._tallies(world, plan, [expectation])
-        return tally.bad[0] if _broken(expectation, tally) else None
+        return tally.bad[0] if _is_broken(expectation, tally) else None
 
-    def _explain(self, expectation: Expectation, report: Report, bad: Sequence[World]) -> None:
-        """The smallest world that breaks it, the border of the lag, and the settings that it takes."""
-        quiet = [world for world in bad if not world.lag]
-        world = self._smallest(expectation, (quiet or bad)[0])
-        finding = self._breaks(expectation, world, self.plan)
+    def _explain_failure(self, expectation: Expectation, report: Report, bad: Sequence[World]) -> None:
+        """Adds the minimal breaking world, the least breaking lag and the settings involved to a report."""
+        without_lag = [world for world in bad if not world.lag]
+        world = self._minimize(expectation, (without_lag or bad)[0])
+        finding = self._find_violation(expectation, world, self.plan)
         assert finding is not None
         report.world, report.broke = world, finding.text
         found = self.plan.make_table(self.plan.routes).find(world.subject())
         if found is not None:
-            report.routed_by = path_of(found[0])
-        if not quiet:
-            self._find_border(expectation, report)
+            report.routed_by = action_path(found[0])
+        if not without_lag:
+            self._find_least_breaking_lag(expectation, report)
             world = report.world
-        settings = [s for s in settings_of(self.plan) if s.path != expectation.path]
-        plan, left = self.plan, settings
-        for setting in settings:  # without whatever it breaks without as well
-            fewer = setting.without(plan)
-            if self._breaks(expectation, world, fewer) is not None:
-                plan, left = fewer, [s for s in left if s is not setting]
-        report.between = [s.path for s in left] + self._opponents(expectation)
+        settings = [s for s in list_settings(self.plan) if s.path != expectation.path]
+        plan, remaining = self.plan, settings
+        for setting in settings:  # drop each setting that the failure does not need
+            reduced = setting.without(plan)
+            if self._find_violation(expectation, world, reduced) is not None:
+                plan, remaining = reduced, [s for s in remaining if s is not setting]
+        report.between = [s.path for s in remaining] + self._contradicting_paths(expectation)
         if report.between:
             report.between.append(expectation.path)
 
-    def _smallest(self, expectation: Expectation, world: World) -> World:
-        """Simpler one step at a time, as long as it still breaks."""
+    def _minimize(self, expectation: Expectation, world: World) -> World:
+        """Simplifies a world one field at a time while it still breaks the expectation."""
         steps: list[dict[str, Any]] = [{"arrivals": n} for n in (1, 2, 3, 4, 6, 8, 10, 12, 16, 20, 30)]
         steps += [{"event": "none", "lag": 0, "target": "one"}, {"ending": "served"}, {"load": "idle"},
                   {"lag": 0}, {"servers": 1}, {"target": "one"}, {"at": 0}, {"tenant": None}, {"key": None},
                   {"client": None}, {"region": None}, {"resent": False}, {"seed": 1}]
-        again = True
-        while again:
-            again = False
+        simplified = True
+        while simplified:
+            simplified = False
             for step in steps:
                 smaller = replace(world, **step)
                 if smaller == world or ("arrivals" in step and step["arrivals"] > world.arrivals):
                     continue
-                if self._breaks(expectation, smaller, self.plan) is not None:
-                    world, again = smaller, True
+                if self._find_violation(expectation, smaller, self.plan) is not None:
+                    world, simplified = smaller, True
         return world
 
-    def _find_border(self, expectation: Expectation, report: Report) -> None:
-        """The least lag that breaks it, to STEP; arrivals come close together, so that none slips by."""
+    def _find_least_breaking_lag(self, expectation: Expectation, report: Report) -> None:
+        """Finds the least lag that breaks the expectation, to the resolution of the search.
+
+        Arrivals are dense, so that some request falls into the interval in which the list is out of date.
+        """
         assert report.world is not None
         span = report.world.lag + 1500
-        base = replace(report.world, gap=DENSE_GAP, arrivals=min(1000, span // DENSE_GAP))
+        base = replace(report.world, gap=DENSE_GAP_MS, arrivals=min(1000, span // DENSE_GAP_MS))
         plain = replace(base, load="idle", ending="served")
-        # Befalls it all, each job shows it at once; but then what it takes to break it may be missing.
+        # An event that affects all servers shows in each request at once, but it may remove a condition that
+        # the failure needs: narrower targets are therefore searched as well.
         for dense in dict.fromkeys((base, *(replace(plain, target=target) for target in TARGETS))):
-            if self._breaks(expectation, dense, self.plan) is None \
-                    or self._breaks(expectation, replace(dense, lag=0), self.plan) is not None:
+            if self._find_violation(expectation, dense, self.plan) is None \
+                    or self._find_violation(expectation, replace(dense, lag=0), self.plan) is not None:
                 continue
-            border = self._least_lag(expectation, dense)
+            border = self._bisect_lag(expectation, dense)
             if report.border_ms is None or border < report.border_ms:
                 report.border_ms, report.world = border, replace(dense, lag=border)
-        finding = self._breaks(expectation, report.world, self.plan)
+        finding = self._find_violation(expectation, report.world, self.plan)
         report.broke = finding.text if finding is not None else report.broke
 
-    def _least_lag(self, expectation: Expectation, world: World) -> int:
-        """It holds with no lag and breaks with the world's: the border between, in milliseconds."""
+    def _bisect_lag(self, expectation: Expectation, world: World) -> int:
+        """Returns the least lag in milliseconds that breaks the expectation, by bisection.
+
+        The expectation must hold without a lag and break at the lag of `world`.
+        """
         low, high = 0, world.lag
-        while high - low > STEP:
-            middle = max((low + high) // 2 // STEP * STEP, low + STEP)
-            if self._breaks(expectation, replace(world, lag=middle), self.plan) is not None:
+        while high - low > LAG_RESOLUTION_MS:
+            middle = max((low + high) // 2 // LAG_RESOLUTION_MS * LAG_RESOLUTION_MS, low + LAG_RESOLUTION_MS)
+            if self._find_violation(expectation, replace(world, lag=middle), self.plan) is not None:
                 high = middle
             else:
                 low = middle
         return high
 
     def _explain_vacuous(self, expectation: Expectation, report: Report, worlds: Sequence[World]) -> None:
-        """The settings without which it would apply."""
-        about = [w for w in worlds if holds(expectation.when.match, w.subject())][:FEW]
+        """Adds the settings without which a vacuous expectation would apply."""
+        matching = [w for w in worlds if holds(expectation.when.match, w.subject())][:VACUOUS_SAMPLE_SIZE]
 
         def vacuous(plan: Plan) -> bool:
-            return not any(self._tallies(world, plan, [expectation])[0].applied for world in about)
+            return not any(self._tallies(world, plan, [expectation])[0].applied for world in matching)
 
-        settings = [s for s in settings_of(self.plan) if s.path != expectation.path]
-        plan, left = self.plan, settings
+        settings = [s for s in list_settings(self.plan) if s.path != expectation.path]
+        plan, remaining = self.plan, settings
         for setting in settings:
-            fewer = setting.without(plan)
-            if vacuous(fewer):
-                plan, left = fewer, [s for s in left if s is not setting]
-        report.between = [s.path for s in left] + self._opponents(expectation)
+            reduced = setting.without(plan)
+            if vacuous(reduced):
+                plan, remaining = reduced, [s for s in remaining if s is not setting]
+        report.between = [s.path for s in remaining] + self._contradicting_paths(expectation)
         if report.between:
             report.between.append(expectation.path)
 
-    def _opponents(self, expectation: Expectation) -> list[str]:
-        """Other expectations that no routing can satisfy together with this one."""
+    def _contradicting_paths(self, expectation: Expectation) -> list[str]:
+        """Returns the paths of expectations that no routing can satisfy together with this one."""
         subjects = sample_subjects(self.plan, self.expectations)
         return [other.path for other in self.expectations
                 if other is not expectation and contradict(expectation, other, self.plan, subjects)]
 
 
-def _broken(expectation: Expectation, tally: Tally) -> bool:
-    """Whether a world breaks an expectation; where a share is owed, by too low a share in this world."""
+def _is_broken(expectation: Expectation, tally: Tally) -> bool:
+    """Whether a world breaks an expectation: its share of good findings is below the required share."""
     return bool(tally.bad) and tally.good / tally.applied < share_owed(expectation.claim)
--- a/arrowfold/expectations/plan_settings.py
+++ b/arrowfold/expectations/plan_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a plan, one by one, each with the plan that lacks it."""
+"""Lists the settings of a plan, each with a function that removes it from a plan."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One thing that is set: its path, and the plan without it."""
+    """One setting: its path in the document, and a function that returns a plan without it."""
 
     path: str
     without: Callable[[Plan], Plan]
 
 
-def settings_of(plan: Plan) -> list[Setting]:
-    """Everything set that may take part, each with the plan that lacks it."""
-    found = [Setting(path_of(rule), _without_rule(rule.name)) for rule in plan.routes.rules]
+def list_settings(plan: Plan) -> list[Setting]:
+    """Returns all settings that may contribute to a verdict."""
+    found = [Setting(action_path(rule), _without_rule(rule.name)) for rule in plan.routes.rules]
     if plan.quotas is not None:
         found += [Setting(f'quotas > organisation "{name}"', _without_organisation(name))
                   for name in plan.quotas.root.children]
@@ -39,7 +39,7 @@
         found.append(Setting("settings > permissions > sendCap", _with(attempt_cap=4)))
     if plan.settings.second_copies:
         found.append(Setting("settings > permissions > secondCopies", _with(second_copies=False)))
-    if cap > 1:  # last: with one attempt nothing is ever repeated
+    if cap > 1:  # last: with a single attempt nothing is retried, which would hide the other settings
         found.append(Setting("settings > permissions > sendCap", _with(attempt_cap=1)))
     return found
 
@@ -49,8 +49,8 @@
     return "deny" if action.deny else "only" if action.only else "kinds" if action.kinds else "prefer"
 
 
-def path_of(rule: Rule) -> str:
-    """The path of a rule's action in the document."""
+def action_path(rule: Rule) -> str:
+    """Returns the path of a rule's action in the document."""
     return f'routes > rule "{rule.name}" > {_action_name(rule)}'
 
 
