--- a/arrowfold/choice.py
+++ b/arrowfold/choice.py
@@ -72,7 +72,7 @@
         self.ring = Ring()
         self.size_by_kind: dict[str, list[float]] = {}
         self.mean_penalty = 0.0  # of the serving workers, from failed attempts only
-        self.roster_failures, self.poll_scheduled, self.failed_searches, self.in_flight, self.fleet = \
+        self.roster_failures, self.poll_scheduled, self.failed_searches, self.in_flight, self.worker_count = \
             0, False, 0, 0, 0
         resources = 2 if settings.reports_memory else 1
         self.mean, self.spread = [0.5] * resources, 0.1  # L_avg^k, and the mean deviation of loads from it
@@ -122,7 +122,7 @@
         if event.mode is not RosterMode.PERSISTED:
             self.roster_failures = 0
         for entry in event.entries:
-            self._enter(entry)
+            self._upsert(entry)
         if event.mode is not RosterMode.PARTIAL:
             listed = {entry.worker for entry in event.entries}
             for worker in self.workers.values():
@@ -132,7 +132,7 @@
             del self.workers[name]
         self._index_workers()
 
-    def _enter(self, entry: api.RosterEntry) -> None:
+    def _upsert(self, entry: api.RosterEntry) -> None:
         worker = self.workers.setdefault(entry.worker, Worker(entry.worker))
         if entry.launched_us != worker.launched_us:
             # A restarted process: what is known of the previous one, or arrives late, must not affect it.
@@ -172,13 +172,13 @@
     def _index_workers(self) -> None:
         """Rebuilds the pools that draws and trades sample from; moves tokens off removed workers."""
         serving = [w for w in self.workers.values() if w.serving]
-        self.pools, self.fleet = {}, len(serving)
+        self.pools, self.worker_count = {}, len(serving)
         for worker in serving:
             for kind in (None, worker.kind):
                 self.pools.setdefault((kind, worker.local), []).append(worker)
         self.cold_workers = [w for w in serving if w.launched_us and self._warmth(w) < 1.0]
         self.ring.set_workers({w.name for w in serving})
-        self._rehouse([t for w in self.workers.values() if w.tokens and not w.serving for t in w.tokens])
+        self._reassign([t for w in self.workers.values() if w.tokens and not w.serving for t in w.tokens])
 
     def _warmth(self, worker: Worker) -> float:
         """Returns the fraction of its capacity that a worker is sure to have since its start."""
@@ -197,7 +197,7 @@
     def _take_cold_turn(self, worker: Worker) -> None:
         self.counters["cold_turns"] += worker.serving and self._warmth(worker) < 1.0
         if self._load(worker, 0) < 1 or self._visibility() < 1:  # outdated in a large fleet
-            self._pull(worker)
+            self._send_queued(worker)
 
     def _send_to_cold(self, request: Request) -> bool:
         """In a large fleet, uses a due turn at a cold worker with a free slot; returns if there was one."""
@@ -223,9 +223,9 @@
             return False
         if self.now >= request.deadline_us or not may_repeat_on(request, worker, self.now):
             return False
-        return self._warmth(worker) >= 1.0 or self._cold_turn(worker, request)
+        return self._warmth(worker) >= 1.0 or self._has_cold_turn(worker, request)
 
-    def _cold_turn(self, worker: Worker, request: Request) -> bool:
+    def _has_cold_turn(self, worker: Worker, request: Request) -> bool:
         """Rule 4: a cold worker gets light requests only, at a rate safe for all dispatchers together."""
         work = request.work_us() * request.slots
         if not worker.next_cold_turn_us:
@@ -389,18 +389,18 @@
         table.slots += 0.05 * (request.slots - table.slots)
         table.memory += 0.05 * (request.memory - table.memory)
         # Rule 1: each open request ends by this timer, whatever else fails.
-        self._set_timer(event.deadline_us - self.now - self.settings.tick_us, self._end, request)
+        self._set_timer(event.deadline_us - self.now - self.settings.tick_us, self._end_request, request)
         if self._visibility() < 1:  # a client's retry has less time left than its class gives
             request.estimate_first_try(self.now)
         lowest, if_late = min(c.worth for c in self.settings.classes), table.cls.worth * table.cls.late_share
         if request.was_late and not self._starts_promptly() and if_late < lowest:
-            self._end(request)  # keeps capacity for requests that can still be in time
+            self._end_request(request)  # keeps capacity for requests that can still be in time
         elif len(self.queues[table.cls.kind]) < LONG_QUEUE:
-            self._seek(request)
+            self._search(request)
         elif not self._send_to_cold(request):
-            self._hold(request)  # many wait already: a search for each would overload the workers
+            self._enqueue(request)  # many wait already: a search for each would overload the workers
 
-    def _seek(self, request: Request, tier: int = 0) -> None:
+    def _search(self, request: Request, tier: int = 0) -> None:
         """Draws a token and tries its holder first, among the workers of the route's tiers up to this one."""
         table = request.table
         request.token, request.tier = None, tier
@@ -421,7 +421,7 @@
 
     def _accepts_affinity(self, worker: Worker) -> bool:
         """Limits a popular key's load on an affinity worker, by own requests (exact) and reported load."""
-        return worker.out[0] <= 1 + AFFINITY_FACTOR * self.in_flight / max(1, self.fleet) \
+        return worker.out[0] <= 1 + AFFINITY_FACTOR * self.in_flight / max(1, self.worker_count) \
             and self._load(worker, 0) < 1 + (AFFINITY_MAX_LOAD - 1) * self._visibility() \
             and self.now - worker.refused_us >= REFUSAL_PAUSE_FACTOR * self.mean_run_us
 
@@ -431,7 +431,7 @@
 
     def _lacks_load_reports(self) -> bool:
         """Returns if a large fleet lacks reports: affinity would overfill workers, a cancel only resend."""
-        return self._visibility() < 1 and not self.settings.tells_load
+        return self._visibility() < 1 and not self.settings.has_load_reports
 
     def _draw_token(self, request: Request, tried: list[Worker]) -> Token[Worker] | None:
         """Returns a token of the class: of an affinity worker of the request's key, else a random one."""
@@ -481,7 +481,7 @@
         elif request.search_stage == STAGE_LOCAL and (request.cls.kind, False) in self.pools:
             self._widen_search(request, local=False)
         else:
-            self._crowded(request, usable)
+            self._on_full(request, usable)
 
     def _widen_search(self, request: Request, local: bool) -> None:
         tried = [a.worker for a in request.attempts]
@@ -496,11 +496,11 @@
         request.search_stage = STAGE_LOCAL if local else STAGE_REMOTE
         self._probe_outdated(request, candidates)
 
-    def _crowded(self, request: Request, usable: list[Worker]) -> None:
+    def _on_full(self, request: Request, usable: list[Worker]) -> None:
         """Without free capacity: joins a worker's queue that is reported to be short, else waits here."""
         table = request.table
-        if request.reach and request.tier < request.reach.last:
-            self._seek(request, request.tier + 1)  # full: the next tier of regions
+        if request.reach and request.tier < request.reach.last_tier:
+            self._search(request, request.tier + 1)  # full: the next tier of regions
             return
         if self._send_to_cold(request):
             return
@@ -516,7 +516,7 @@
                 self._send(request, best)
                 return
         self.failed_searches += 1
-        self._hold(request)
+        self._enqueue(request)
 
     def _exceeds_share(self, tenant: str | None) -> bool:
         """Returns whether a request exceeds this dispatcher's part of its tenant's share, at random."""
@@ -533,7 +533,7 @@
         worth *= cls.late_share if request.was_late else 1.0
         return worth if self.settings.worth_by_work else worth / work
 
-    def _hold(self, request: Request) -> None:
+    def _enqueue(self, request: Request) -> None:
         """Queues a request here, as it would add to the overload in a full worker's queue."""
         # Polled as often as slots turn over: faster, all dispatchers would follow one stale report.
         if request not in (queue := self.queues[request.cls.kind]):
@@ -554,11 +554,11 @@
             if queue:
                 best = max(queue, key=self._priority)
                 queue.remove(best)
-                self._seek(best)
+                self._search(best)
             if queue:
-                self._hold(queue[0])
+                self._enqueue(queue[0])
 
-    def _pull(self, worker: Worker) -> None:
+    def _send_queued(self, worker: Worker) -> None:
         """Sends the best queued request to a worker at which an own request has freed a slot."""
         for kind in (worker.kind, None):
             waiting = [queued for queued in self.queues.get(kind, ())
@@ -584,9 +584,9 @@
     def _end_unless_in_flight(self, request: Request) -> None:
         """Ends a request that gets no further attempt, unless an attempt is still in flight."""
         if not request.count_in_flight():
-            self._end(request)
+            self._end_request(request)
 
-    def _end(self, request: Request) -> None:
+    def _end_request(self, request: Request) -> None:
         """Gives this dispatcher's own final answer: a refusal where a retry is safe, else a failure."""
         if request.open and not request.streaming:
             refusal = api.Refuse(request.id, self._retry_after_us())
@@ -620,7 +620,7 @@
         self.actions.append(api.Send(request.id, worker.name))
         number, work = len(request.attempts) - 1, request.work_us()
         self._set_timer(
-            request.cls.aim_us + max(2.0, request.cls.stretch) * work, self._overdue, request, number)
+            request.cls.aim_us + max(2.0, request.cls.stretch) * work, self._on_overdue, request, number)
         if self.settings.tells_start and self._visibility() < 1 and not self._lacks_load_reports():
             self._set_timer(self._latest_start_us(request) + self.start_delay_us - self.now,
                             self._cancel_unstarted, request, number)
@@ -645,7 +645,7 @@
                 and self.settings.may_cancel and may_refuse(request) and not self._lacks_load_reports():
             self.actions.append(api.Cancel(request.id, number))
 
-    def _overdue(self, request: Request, number: int) -> None:
+    def _on_overdue(self, request: Request, number: int) -> None:
         """Handles an attempt that is overdue because its worker is unresponsive or very slow."""
         attempt = request.attempts[number]
         if attempt.ended or not request.open or request.streaming:
@@ -653,7 +653,7 @@
         attempt.worker.add_penalty(self.now, 0.5)
         if self.settings.second_copies:
             if request.count_in_flight() == 1 and request.cls.idempotency is not Idempotency.UNSAFE:
-                self._seek(request)
+                self._search(request)
         elif self._attempts_left(request):
             self._cancel_unstarted(request, number)
 
@@ -662,7 +662,7 @@
         if request is None or event.attempt >= len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
-        self._judge(attempt.worker, event)
+        self._note_outcome(attempt.worker, event)
         attempt.ended, attempt.may_have_run = True, not event.status.never_ran
         attempt.worker.add_in_flight(self.now, -request.slots, -request.memory)
         self.in_flight -= 1
@@ -670,20 +670,20 @@
             self._close(request)
         if event.status is Status.OK:
             self._measure_run(request, attempt)
-            self._pull(attempt.worker)
+            self._send_queued(attempt.worker)
         if request.count_in_flight():
             return
         if not request.open:
             self.requests.pop(request.id, None)
         elif request.cls.idempotency is Idempotency.UNSAFE and attempt.may_have_run:
-            self._end(request)  # rule 2: it may have run and must not run twice
+            self._end_request(request)  # rule 2: it may have run and must not run twice
         elif event.status is Status.FULL and len(request.attempts) >= REFUSAL_LIMIT \
                 and self._attempts_left(request) and not (self._visibility() < 1 and self._starts_promptly()):
-            self._hold(request)
+            self._enqueue(request)
         else:
-            self._seek(request)
+            self._search(request)
 
-    def _judge(self, worker: Worker, event: api.AttemptEnded) -> None:
+    def _note_outcome(self, worker: Worker, event: api.AttemptEnded) -> None:
         """Updates the worker's load report and penalties from the outcome of an attempt."""
         self._take_report(worker, event.report)
         if event.status is Status.FULL:
--- a/arrowfold/interface.py
+++ b/arrowfold/interface.py
@@ -156,7 +156,7 @@
     prices: Prices = field(default_factory=Prices)
 
     @property
-    def tells_load(self) -> bool:
+    def has_load_reports(self) -> bool:
         """Returns whether workers' load is reported, beyond what a dispatcher knows from its own requests."""
         return self.load_source is not LoadSource.NONE
 
@@ -228,7 +228,7 @@
     kinds: frozenset[str] = frozenset()
 
     @property
-    def last(self) -> int:
+    def last_tier(self) -> int:
         """Returns the index of the last tier."""
         return len(self.zones) - (not self.others) if self.zones else 0
 
--- a/arrowfold/market/trading.py
+++ b/arrowfold/market/trading.py
@@ -37,7 +37,7 @@
             Token(table, holder)
         return holder is not None
 
-    def _rehouse(self, freed: list[Token[HolderT]]) -> None:
+    def _reassign(self, freed: list[Token[HolderT]]) -> None:
         """Moves the tokens of removed workers to the lowest C_j(w), in their tables' order."""
         for table in self.tables.values() if freed else ():
             for token in table.tokens.in_order(t for t in freed if t.table is table):
@@ -49,7 +49,7 @@
         """N_i = ceil(L_i / L_g): grants or recalls tokens as the measured workload changes (ch. 5)."""
         workload = {name: table.workload(self.now) for name, table in self.tables.items()}
         changes_left, per_worker = MAX_TOKEN_CHANGES, self.tokens_per_worker
-        load = sum(workload.values()) / max(per_worker, min(self.fleet * per_worker, MAX_TOKENS))
+        load = sum(workload.values()) / max(per_worker, min(self.worker_count * per_worker, MAX_TOKENS))
         if not 0.7 * self.load_per_token < load < 1.4 * self.load_per_token:  # hysteresis for steady trades
             self.load_per_token = load
         for name, table in self.tables.items():
--- a/arrowfold/market/view.py
+++ b/arrowfold/market/view.py
@@ -23,7 +23,7 @@
     tables: MutableMapping[Any, TableT]
     mean: list[float]  # L_avg^k, by resource
     spread: float  # mean deviation of loads from their mean
-    fleet: int  # number of workers in service
+    worker_count: int  # number of workers in service
     tokens_per_worker: int = 24  # on average; determines L_g. Enough for some tokens of every usual class
     trade_threshold: float = 1.0  # T_s = -T_r = T, as a multiple of `spread`, times the number of resources
 
--- a/arrowfold/selection/class_market.py
+++ b/arrowfold/selection/class_market.py
@@ -61,7 +61,7 @@
         self.now_s = 0.0
         self.mean = [0.1, 0.1]
         self.spread = 0.1
-        self.fleet = 0
+        self.worker_count = 0
         self.tables = {}
         self.mean_other_load = 0.0  # mean load of a worker by requests of other edges, relative to its slots
         self.mean_failure_penalty = 0.0
@@ -76,11 +76,11 @@
     def set_workers(self, workers: Iterable[EngineWorker]) -> None:
         """Replaces the workers; indexes the available ones by service and clears the holders of classes."""
         self._workers, self._holders = {}, {}
-        self.fleet = 0
+        self.worker_count = 0
         for worker in workers:
             if worker.is_available:
                 self._workers.setdefault(worker.record.service, []).append(worker)
-                self.fleet += 1
+                self.worker_count += 1
 
     def reassign_tokens(self, workers: Iterable[EngineWorker]) -> None:
         """Moves tokens whose holder may no longer hold them to the worker with the lowest price.
@@ -90,7 +90,7 @@
         """
         changed = dict.fromkeys([*workers, *self._misplaced_holders])
         misplaced = [token for worker in changed for token in worker.tokens if not self._is_placed(token)]
-        self._rehouse(misplaced)
+        self._reassign(misplaced)
         unmoved = (token.holder for token in misplaced if not self._is_placed(token))
         self._misplaced_holders = list(dict.fromkeys(unmoved))
 
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -91,17 +91,17 @@
             yield
 
 
-_enter, _on_ended, _consult = Dispatcher._enter, Dispatcher._on_ended, Core._consult
-_seek, _crowded, _answer, _find = Dispatcher._seek, Dispatcher._crowded, Core._answer, RouteTable.find
+_upsert, _on_ended, _consult = Dispatcher._upsert, Dispatcher._on_ended, Core._consult
+_search, _on_full, _answer, _find = Dispatcher._search, Dispatcher._on_full, Core._answer, RouteTable.find
 _core_init, _change, _reach = Core.__init__, ServerTable.change, Action.reach
-_on_roster, _judge, _dispatch = Dispatcher._on_roster, Dispatcher._judge, Core._dispatch
+_on_roster, _note_outcome, _dispatch = Dispatcher._on_roster, Dispatcher._note_outcome, Core._dispatch
 
 
 def _treating_as_in_service(state: api.Lifecycle) -> Callable[..., None]:
     def enter(self: Dispatcher, entry: api.RosterEntry) -> None:
         if entry.lifecycle is state:
             entry = replace(entry, lifecycle=api.Lifecycle.IN_SERVICE)
-        _enter(self, entry)
+        _upsert(self, entry)
 
     return enter
 
@@ -187,31 +187,31 @@
 def _ending_on(*statuses: api.Status) -> tuple[Callable[..., None], Callable[..., None]]:
     def seek(self: Dispatcher, request: Request, tier: int = 0) -> None:
         if request.attempts and self.last_status in statuses:  # type: ignore[attr-defined]
-            self._end(request)
+            self._end_request(request)
         else:
-            _seek(self, request, tier)
+            _search(self, request, tier)
 
     def judge(self: Dispatcher, worker: Any, event: api.AttemptEnded) -> None:
         self.last_status = event.status  # type: ignore[attr-defined]
-        _judge(self, worker, event)
+        _note_outcome(self, worker, event)
 
     return seek, judge
 
 
 def _without_retry(name: str, noticed: str, *statuses: api.Status) -> Fault:
     seek, judge = _ending_on(*statuses)
-    return Fault(name, ((Dispatcher, "_seek", seek), (Dispatcher, "_judge", judge)), noticed)
+    return Fault(name, ((Dispatcher, "_search", seek), (Dispatcher, "_note_outcome", judge)), noticed)
 
 
 def _first_tier_only(self: Dispatcher, request: Request, fit: Any) -> None:
-    if request.reach and request.tier < request.reach.last:
-        self._hold(request)
+    if request.reach and request.tier < request.reach.last_tier:
+        self._enqueue(request)
     else:
-        _crowded(self, request, fit)
+        _on_full(self, request, fit)
 
 
 def _starting_at_last_tier(self: Dispatcher, request: Request, tier: int = 0) -> None:
-    _seek(self, request, request.reach.last if request.reach else tier)
+    _search(self, request, request.reach.last_tier if request.reach else tier)
 
 
 def _delaying_answer(self: Core, session: Any, answer: Answer) -> None:
@@ -240,7 +240,7 @@
 
 
 def _refusing_at_once(self: Dispatcher, request: Request) -> None:
-    self._end(request)
+    self._end_request(request)
 
 
 def _without_expiry(self: Core, session: Any) -> None:
@@ -249,10 +249,10 @@
 
 DRAIN_EXPECTATION = "nothing goes to a worker a second after it is told to drain"
 FAULTS = (
-    Fault("drains ignored", ((Dispatcher, "_enter", _treating_as_in_service(api.Lifecycle.TERMINATING)),),
+    Fault("drains ignored", ((Dispatcher, "_upsert", _treating_as_in_service(api.Lifecycle.TERMINATING)),),
           DRAIN_EXPECTATION),
     Fault("the end of a server ignored", (
-        (Dispatcher, "_enter", _treating_as_in_service(api.Lifecycle.TERMINATED)),
+        (Dispatcher, "_upsert", _treating_as_in_service(api.Lifecycle.TERMINATED)),
         (ServerTable, "find", lambda self, name: _find_removed_too(self, name))),
         "a search never goes to a worker that is gone"),
     Fault("who is not in a whole list stays", (
@@ -292,14 +292,14 @@
           "the documentation networks are denied, and told when to come back"),
     Fault("IPv6 never matches", ((_NetworkPart, "of", _without_ipv6),),
           "IPv6 documentation networks are denied too"),
-    Fault("no way on from the preferred region", ((Dispatcher, "_crowded", _first_tier_only),),
+    Fault("no way on from the preferred region", ((Dispatcher, "_on_full", _first_tier_only),),
           "cardiff's searches are served elsewhere when cardiff has no room"),
-    Fault("all regions at once", ((Dispatcher, "_seek", _starting_at_last_tier),),
+    Fault("all regions at once", ((Dispatcher, "_search", _starting_at_last_tier),),
           "cardiff's searches stay in cardiff while it has room"),
-    Fault("cold budget off", ((Dispatcher, "_cold_turn", _return_true),), "a cold worker is not pushed over"),
+    Fault("cold budget off", ((Dispatcher, "_has_cold_turn", _return_true),), "a cold worker is not pushed over"),
     Fault("starts forgotten", ((Dispatcher, "_warmth", _return_full_warmth),),
           "a cold worker is not pushed over"),
-    Fault("silence overlooked", ((Dispatcher, "_overdue", _do_nothing),),
+    Fault("silence overlooked", ((Dispatcher, "_on_overdue", _do_nothing),),
           "a lookup that hears nothing is sent elsewhere"),
     _without_retry("no repeat when turned away", "a search that was turned away is tried again",
                    api.Status.FULL),
@@ -311,11 +311,11 @@
           "a payment that may have run is never run again"),
     Fault("answers held back for 40 ms", ((Core, "_answer", _delaying_answer),),
           "a result is passed on at once"),
-    Fault("deadlines lost", ((Dispatcher, "_end", _do_nothing), (Core, "_expire", _without_expiry)),
+    Fault("deadlines lost", ((Dispatcher, "_end_request", _do_nothing), (Core, "_expire", _without_expiry)),
           "every search is answered by its deadline"),
-    Fault("nobody waits here", ((Dispatcher, "_hold", _refusing_at_once),),
+    Fault("nobody waits here", ((Dispatcher, "_enqueue", _refusing_at_once),),
           None, "who would have waited is denied at once, which no expectation of the document forbids"),
-    Fault("slots that come free pull nobody", ((Dispatcher, "_pull", _do_nothing),),
+    Fault("slots that come free pull nobody", ((Dispatcher, "_send_queued", _do_nothing),),
           None, "who waits is looked at again soon after: later, but in time"),
 )
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -58,7 +58,7 @@
     assert only == Reach((frozenset("abc"),), others=False)
     assert kinds == Reach(kinds=frozenset("k"))
     assert prefer is not None and only is not None and kinds is not None
-    assert (prefer.last, only.last, kinds.last) == (2, 0, 0)
+    assert (prefer.last_tier, only.last_tier, kinds.last_tier) == (2, 0, 0)
     assert [prefer.holds(z, "any", t) for z, t in (("c", 0), ("a", 0), ("a", 1), ("d", 1), ("d", 2))] == \
         [True, False, True, False, True]
     assert not only.holds("d", "any", 9) and kinds.holds("d", "k", 0) and not kinds.holds("d", "l", 0)
