--- a/arrowfold/controlplane/scaling_service.py
+++ b/arrowfold/controlplane/scaling_service.py
@@ -21,7 +21,7 @@
 from arrowfold.replication.proposals import ReplicaPort
 from arrowfold.replication.roles import HeldRoleLease, RoleAuthority
 from arrowfold.scaling.options import ScalingOptions
-from arrowfold.scaling.service_bounds import ScalingBounds, scaling_of
+from arrowfold.scaling.service_bounds import ScalingBounds, scaling_bounds_of
 from arrowfold.scaling.service_load import ServiceLoad
 from arrowfold.scaling.zone_fleet import ZoneFleet, zone_fleets
 from arrowfold.scaling.zone_scaler import Situation
@@ -145,7 +145,7 @@
         return {}
     scaled_services = {}
     for service in document.get("services", ()):
-        bounds = scaling_of(service)
+        bounds = scaling_bounds_of(service)
         if bounds is not None:
             scaled_services[bounds.service] = _ScaledService(
                 bounds, _models_per_worker(catalogue_of(service))
--- a/arrowfold/controlplane/scaling_subject.py
+++ b/arrowfold/controlplane/scaling_subject.py
@@ -13,7 +13,7 @@
 from arrowfold.controlplane.platform_client import DutyAnswer, DutyCall, DutyPlatform
 from arrowfold.node.logs import RateLimitedLog
 from arrowfold.scaling.options import ScalingOptions
-from arrowfold.scaling.zone_scaler import Reason, Situation, WantedCount, ZoneScaler
+from arrowfold.scaling.zone_scaler import Reason, Situation, TargetCount, ZoneScaler
 
 SCALING_PATH = "/scaling"
 MIN_LEASE_REMAINING_S = 0.3  # required to make a call, so that it arrives under the lease
@@ -67,9 +67,9 @@
 
     def step(self, situation: Situation) -> None:
         """Evaluates the situation and starts a call if one is due."""
-        wanted = self._scaler.look(situation)
+        wanted = self._scaler.evaluate(situation)
         if wanted is None and self._has_unconfirmed_call:
-            wanted = WantedCount(self._scaler.count(situation.bounds), Reason.REPEAT)
+            wanted = TargetCount(self._scaler.count(situation.bounds), Reason.REPEAT)
         if wanted is None or not self._can_call(situation.now_s):
             return
         if self._ports.rate_limiter.try_acquire(situation.now_s):
@@ -86,7 +86,7 @@
             return False
         return self._lease.remaining_s() >= MIN_LEASE_REMAINING_S
 
-    async def _order(self, wanted: WantedCount) -> None:
+    async def _order(self, wanted: TargetCount) -> None:
         answer = await self._ports.platform.send(self._duty_call(wanted))
         self._apply_answer(wanted, answer)
         self._ports.log.info(
@@ -100,7 +100,7 @@
             answer=answer.value,
         )
 
-    def _duty_call(self, wanted: WantedCount) -> DutyCall:
+    def _duty_call(self, wanted: TargetCount) -> DutyCall:
         document = {
             "targetService": self._service_zone.service,
             "zone": self._service_zone.zone,
@@ -109,7 +109,7 @@
         body = json.dumps(document, separators=(",", ":")).encode()
         return DutyCall(SCALING_PATH, body, self._ports.holder, self._lease.token)
 
-    def _apply_answer(self, wanted: WantedCount, answer: DutyAnswer) -> None:
+    def _apply_answer(self, wanted: TargetCount, answer: DutyAnswer) -> None:
         if answer is DutyAnswer.ACCEPTED:
             self._scaler.accepted(wanted.count)
             self._has_unconfirmed_call = False
--- a/arrowfold/dataplane/forwarding.py
+++ b/arrowfold/dataplane/forwarding.py
@@ -337,7 +337,7 @@
                 )
                 progress.trace.longest_pause_s = max(progress.trace.longest_pause_s, longest_pause_s)
                 progress.trace.status = status
-                self._selector.stream_passed(progress.profile, choice.instance, longest_pause_s)
+                self._selector.stream_forwarded(progress.profile, choice.instance, longest_pause_s)
                 return Outcome.SUCCEEDED
             body = await read_body(worker_answer)
         except IncompleteBodyError:
--- a/arrowfold/dataplane/node.py
+++ b/arrowfold/dataplane/node.py
@@ -196,7 +196,7 @@
         self._selector.apply_workers(workers, now_s)
         if snapshot.configuration is not self._engine_facts_source:
             self._engine_facts_source = snapshot.configuration
-            self._selector.apply_engines(_engine_facts(snapshot))
+            self._selector.apply_engine_facts(_engine_facts(snapshot))
         edges = snapshot.view.edges if snapshot.view is not None else 0
         if edges > 0:
             self._selector.apply_edges(edges)
--- a/arrowfold/dataplane/reports.py
+++ b/arrowfold/dataplane/reports.py
@@ -28,7 +28,7 @@
         `period_s` is the time in seconds that the demand covers. Demand is discarded while no view is known.
         """
         demand = self._selector.take_demand(now_s)
-        failing = self._selector.take_failing()
+        failing = self._selector.take_failed_workers()
         if view is None or not demand:
             return
         by_address: dict[str, list[ClassDemand]] = defaultdict(list)
--- a/arrowfold/scaling/service_bounds.py
+++ b/arrowfold/scaling/service_bounds.py
@@ -21,7 +21,7 @@
         return max(self.min_count, min(self.max_count, count))
 
 
-def scaling_of(service: Mapping[str, Any]) -> ScalingBounds | None:
+def scaling_bounds_of(service: Mapping[str, Any]) -> ScalingBounds | None:
     """Returns the bounds of one service of a valid configuration; None if its workers are not ordered."""
     scaling = service.get("scaling")
     if scaling is None:
--- a/arrowfold/scaling/zone_scaler.py
+++ b/arrowfold/scaling/zone_scaler.py
@@ -36,7 +36,7 @@
     """What is known of a service and one of its zones at one time.
 
     `zones`: the number of zones in which the service runs; they share its load evenly.
-    `models_a_worker`: how many models fit on a worker; 0 for a service without models.
+    `models_per_worker`: how many models fit on a worker; 0 for a service without models.
     """
 
     now_s: float
@@ -44,11 +44,11 @@
     fleet: ZoneFleet
     load: Load
     zones: int
-    models_a_worker: int
+    models_per_worker: int
 
 
 @dataclass(frozen=True, slots=True)
-class WantedCount:
+class TargetCount:
     """A count that should be ordered because it differs from the current one."""
 
     count: int
@@ -84,7 +84,7 @@
         self._accepted_count = count
         self._observations.clear()
 
-    def look(self, situation: Situation) -> WantedCount | None:
+    def evaluate(self, situation: Situation) -> TargetCount | None:
         """Records the situation; returns the count to order, or None to keep the current one."""
         now_s = situation.now_s
         self._record_fleet(situation)
@@ -123,11 +123,11 @@
         count = self.count(situation.bounds)
         fleet = situation.fleet
         is_complete = fleet.draining == 0 and fleet.available >= count
-        model_capacity = (count - 1) * situation.zones * situation.models_a_worker
-        fits_models = situation.models_a_worker == 0 or situation.load.models <= model_capacity
+        model_capacity = (count - 1) * situation.zones * situation.models_per_worker
+        fits_models = situation.models_per_worker == 0 or situation.load.models <= model_capacity
         return situation.load.is_known and is_complete and fits_models
 
-    def _outside_bounds(self, situation: Situation) -> WantedCount | None:
+    def _outside_bounds(self, situation: Situation) -> TargetCount | None:
         """Returns the nearest count within the bounds, if the current one is outside of them.
 
         The platform itself also keeps counts within the bounds. Without an accepted order, a count below the
@@ -145,25 +145,25 @@
             waited_s = situation.now_s - self._below_min_since_s
             if waited_s < bounds.boot_time_s + self._options.fall_s:
                 return None
-        return WantedCount(bounds.clamp(current), Reason.BOUNDS)
+        return TargetCount(bounds.clamp(current), Reason.BOUNDS)
 
-    def _increased(self, situation: Situation) -> WantedCount | None:
+    def _increased(self, situation: Situation) -> TargetCount | None:
         observations = self._observations_over(self._options.rise_s)
         if observations is None:
             return None
         needed = min(observation.needed for observation in observations)
         if needed <= self.count(situation.bounds):
             return None
-        return WantedCount(needed, Reason.LOAD)
+        return TargetCount(needed, Reason.LOAD)
 
-    def _decreased(self, situation: Situation) -> WantedCount | None:
+    def _decreased(self, situation: Situation) -> TargetCount | None:
         observations = self._observations_over(self._options.fall_s)
         if observations is None or not all(observation.can_decrease for observation in observations):
             return None
         count = self.count(situation.bounds)
         if max(observation.needed for observation in observations) >= count:
             return None
-        return WantedCount(count - 1, Reason.IDLE)
+        return TargetCount(count - 1, Reason.IDLE)
 
     def _observations_over(self, duration_s: float) -> list[_Observation] | None:
         """Returns the observations of the last `duration_s`; None if they don't cover that time."""
--- a/arrowfold/selection/interface.py
+++ b/arrowfold/selection/interface.py
@@ -129,7 +129,7 @@
     def apply_edges(self, edges: int) -> None:
         """Sets the number of edge nodes that share the workers."""
 
-    def apply_engines(self, facts: tuple[EngineFacts, ...]) -> None:
+    def apply_engine_facts(self, facts: tuple[EngineFacts, ...]) -> None:
         """Applies the facts of the services' engines from the active configuration."""
 
     def choose(self, request: RequestProfile, excluded: Collection[str], now_s: float) -> Choice:
@@ -141,7 +141,7 @@
     def first_event(self, request: RequestProfile, instance: str, now_s: float) -> None:
         """Records that the first bytes of an attempt's body have arrived."""
 
-    def stream_passed(self, request: RequestProfile, instance: str, longest_pause_s: float) -> None:
+    def stream_forwarded(self, request: RequestProfile, instance: str, longest_pause_s: float) -> None:
         """Records the longest pause between the events of a forwarded stream, or of the rest of one."""
 
     def ended(self, request: RequestProfile, instance: str, outcome: Outcome, now_s: float) -> None:
@@ -153,7 +153,7 @@
     def market_round(self, now_s: float) -> None:
         """Runs a round of the market: recounts tokens and trades. Called about every half second."""
 
-    def take_failing(self) -> tuple[str, ...]:
+    def take_failed_workers(self) -> tuple[str, ...]:
         """Returns the workers at which requests failed since the last call, for the placement owner."""
 
     def take_demand(self, now_s: float) -> tuple[ClassDemand, ...]:
--- a/arrowfold/selection/market_selector.py
+++ b/arrowfold/selection/market_selector.py
@@ -135,7 +135,7 @@
         min_tokens = options.fewest_tokens_per_worker
         self.market.tokens_per_worker = max(min_tokens, min(options.tokens_per_worker, tokens))
 
-    def apply_engines(self, facts: tuple[EngineFacts, ...]) -> None:
+    def apply_engine_facts(self, facts: tuple[EngineFacts, ...]) -> None:
         """Applies the configured facts of the services' engines."""
         self._engine_facts = {fact.service: fact for fact in facts}
         for worker in self._workers.values():
@@ -179,7 +179,7 @@
             attempt.first_event_s = now_s
             self.first_events.record_first_event(worker, attempt, now_s)
 
-    def stream_passed(self, request: RequestProfile, instance: str, longest_pause_s: float) -> None:
+    def stream_forwarded(self, request: RequestProfile, instance: str, longest_pause_s: float) -> None:
         """Records the longest pause of a forwarded stream in the means of its worker and service."""
         worker = self._workers.get(instance)
         if worker is None or request.pause_objective_s <= 0:
@@ -255,7 +255,7 @@
             for request_class, counts in demand.items()
         )
 
-    def take_failing(self) -> tuple[str, ...]:
+    def take_failed_workers(self) -> tuple[str, ...]:
         """Returns and clears the workers at which requests failed."""
         failed_workers, self._failed_workers = self._failed_workers, {}
         return tuple(failed_workers)
--- a/tests/system/least_loaded_selector.py
+++ b/tests/system/least_loaded_selector.py
@@ -39,7 +39,7 @@
     def apply_edges(self, edges: int) -> None:
         """Not used."""
 
-    def apply_engines(self, facts: tuple[EngineFacts, ...]) -> None:
+    def apply_engine_facts(self, facts: tuple[EngineFacts, ...]) -> None:
         """Not used."""
 
     def choose(self, request: RequestProfile, excluded: Collection[str], now_s: float) -> Choice:
@@ -69,7 +69,7 @@
     def first_event(self, request: RequestProfile, instance: str, now_s: float) -> None:
         """Not used."""
 
-    def stream_passed(self, request: RequestProfile, instance: str, longest_pause_s: float) -> None:
+    def stream_forwarded(self, request: RequestProfile, instance: str, longest_pause_s: float) -> None:
         """Not used."""
 
     def ended(self, request: RequestProfile, instance: str, outcome: Outcome, now_s: float) -> None:
@@ -87,7 +87,7 @@
     def market_round(self, now_s: float) -> None:
         """Not used: there is no market."""
 
-    def take_failing(self) -> tuple[str, ...]:
+    def take_failed_workers(self) -> tuple[str, ...]:
         """Returns no workers: failures are not tracked."""
         return ()
 
--- a/tests/system/selection_stage.py
+++ b/tests/system/selection_stage.py
@@ -41,13 +41,13 @@
     return WorkerRecord(name, service, address, zone, "v1", slots, state, tuple(held), arriving=arriving)
 
 
-class Stage:
+class SelectionHarness:
     """A selector with a simulated clock and a table of workers."""
 
     def __init__(self, *workers: WorkerRecord, seed: int = 1, edges: int = 1) -> None:
         self.now_s = 100.0
         self.selector = MarketSelector("north", seed, SelectionOptions())
-        self.selector.apply_engines((EngineFacts(SERVICE, KV_TOKENS, {"m": LOAD_S, "n": LOAD_S}),))
+        self.selector.apply_engine_facts((EngineFacts(SERVICE, KV_TOKENS, {"m": LOAD_S, "n": LOAD_S}),))
         self.apply_workers(*workers)
         self.selector.apply_edges(edges)
         self._names = itertools.count()
--- a/tests/system/test_edge_streams.py
+++ b/tests/system/test_edge_streams.py
@@ -181,7 +181,7 @@
     async def scenario() -> None:
         edge = model_edge("m")
         reported_pauses: list[tuple[str, float]] = []
-        edge.selector.stream_passed = lambda request, instance, pause_s: reported_pauses.append(
+        edge.selector.stream_forwarded = lambda request, instance, pause_s: reported_pauses.append(
             (instance, pause_s)
         )
         paused = stream(((0.9, event(1)), (0.1, event(2)), (0.35, event(3)), (0.1, event(4))))
@@ -197,7 +197,7 @@
     async def scenario() -> None:
         edge = model_edge("m")
         reported_pauses: list[float] = []
-        edge.selector.stream_passed = lambda request, instance, pause_s: reported_pauses.append(pause_s)
+        edge.selector.stream_forwarded = lambda request, instance, pause_s: reported_pauses.append(pause_s)
         edge.workers.scripts["m"] = answers(stream(((0.1, event(1)), (0.9, event(2))), breaks=True))
         assert not (await edge.ask("/draft/1")).complete
         assert reported_pauses == []
--- a/tests/system/test_explain.py
+++ b/tests/system/test_explain.py
@@ -16,7 +16,7 @@
 from arrowfold.node.result_codes import ResultCode
 from arrowfold.node.traces import MAX_RECORDS_PER_SECOND, TraceWriter
 from arrowfold.programs import system
-from tests.system.selection_stage import Stage
+from tests.system.selection_stage import SelectionHarness
 
 
 def record(**changed: Any) -> str:
@@ -119,7 +119,7 @@
 
 
 def test_a_trace_is_in_time_or_late_and_records_its_steps() -> None:
-    stage = Stage()
+    stage = SelectionHarness()
     profile = stage.request("m", objective_s=1.0)
     trace = RequestTrace(stage.now_s)
     trace.missed(stage.now_s, load_is_known=False)
--- a/tests/system/test_scaling_decisions.py
+++ b/tests/system/test_scaling_decisions.py
@@ -7,7 +7,7 @@
 
 from arrowfold.internal.messages import ClassDemand, DemandReport, NodeIdentity, WorkerRecord
 from arrowfold.scaling.options import ScalingOptions
-from arrowfold.scaling.service_bounds import ScalingBounds, scaling_of
+from arrowfold.scaling.service_bounds import ScalingBounds, scaling_bounds_of
 from arrowfold.scaling.service_load import Load, ServiceLoad
 from arrowfold.scaling.zone_fleet import ZoneFleet, zone_fleets
 from arrowfold.scaling.zone_scaler import Reason, Situation, ZoneScaler
@@ -46,7 +46,7 @@
     now_s, accepted = 0.0, None
     for (interval_s, limits, fleet, load, models), is_accepted in zip(steps, orders_accepted, strict=False):
         now_s += interval_s
-        wanted = scaler.look(Situation(now_s, limits, fleet, load, 2, models))
+        wanted = scaler.evaluate(Situation(now_s, limits, fleet, load, 2, models))
         assert limits.min_count <= scaler.count(limits) <= limits.max_count
         if wanted is None:
             continue
@@ -66,7 +66,7 @@
     wanted = None
     for step in range(20):
         now = Situation(step * 0.5, limits, ZoneFleet(2, 0, 10), Load(0.0, 0, False), 1, 0)
-        wanted = wanted or scaler.look(now)
+        wanted = wanted or scaler.evaluate(now)
     assert wanted is not None and (wanted.count, wanted.reason) == (4, Reason.LOAD)
 
 
@@ -75,21 +75,21 @@
     scaler = ZoneScaler(OPTIONS)
     limits = ScalingBounds("s", 1, 9, 8.0)
 
-    def look(now_s: float) -> object:
-        return scaler.look(Situation(now_s, limits, ZoneFleet(4, 0, 10), Load(1.0, 0, True), 1, 0))
+    def evaluate(now_s: float) -> object:
+        return scaler.evaluate(Situation(now_s, limits, ZoneFleet(4, 0, 10), Load(1.0, 0, True), 1, 0))
 
     for step in range(30):
-        assert look(step * 0.5) is None
+        assert evaluate(step * 0.5) is None
     for step in range(39):
-        assert look(100.0 + step * 0.5) is None
-    assert look(120.0) is not None
+        assert evaluate(100.0 + step * 0.5) is None
+    assert evaluate(120.0) is not None
 
 
 def test_the_bounds_of_a_service_have_defaults() -> None:
-    assert scaling_of({"name": "s"}) is None
-    assert scaling_of({"name": "s", "scaling": {"maxCount": 3}}) == ScalingBounds("s", 0, 3, 0.0)
+    assert scaling_bounds_of({"name": "s"}) is None
+    assert scaling_bounds_of({"name": "s", "scaling": {"maxCount": 3}}) == ScalingBounds("s", 0, 3, 0.0)
     full = {"minCount": 2, "maxCount": 3, "bootTimeS": 8}
-    assert scaling_of({"name": "s", "scaling": full}) == ScalingBounds("s", 2, 3, 8.0)
+    assert scaling_bounds_of({"name": "s", "scaling": full}) == ScalingBounds("s", 2, 3, 8.0)
 
 
 def test_workers_are_counted_by_zone_and_state() -> None:
--- a/tests/system/test_selection_stories.py
+++ b/tests/system/test_selection_stories.py
@@ -12,13 +12,13 @@
 from arrowfold.internal.messages import ArrivingModel
 from arrowfold.node.result_codes import ResultCode
 from arrowfold.selection.interface import ChosenWorker, Outcome, RefusedRequest, WaitForWorker
-from tests.system.selection_stage import LOAD_S, SERVICE, Stage, with_state, worker
+from tests.system.selection_stage import LOAD_S, SERVICE, SelectionHarness, with_state, worker
 
 SHARED_PARTS = (("head", 2000), ("repository", 4000))
 
 
-def three_workers(*models: str) -> Stage:
-    return Stage(*(worker(name, *models) for name in ("a", "b", "c")))
+def three_workers(*models: str) -> SelectionHarness:
+    return SelectionHarness(*(worker(name, *models) for name in ("a", "b", "c")))
 
 
 # --- the ordinary path ----------------------------------------------------------------------------------
@@ -56,13 +56,13 @@
 
 
 def test_only_holders_of_the_model_and_the_adapter_get_a_request() -> None:
-    harness = Stage(worker("a", "m"), worker("b", "m/x"), worker("c", "n/x"))
+    harness = SelectionHarness(worker("a", "m"), worker("b", "m/x"), worker("c", "n/x"))
     assert {harness.serve(harness.request("m/x")) for _ in range(10)} == {"b"}
     assert {harness.serve(harness.request("m")) for _ in range(20)} <= {"a", "b"}
 
 
 def test_a_service_without_models_uses_all_its_workers_and_no_others() -> None:
-    harness = Stage(worker("a", service="cards"), worker("b", service="cards"), worker("c", "m"))
+    harness = SelectionHarness(worker("a", service="cards"), worker("b", service="cards"), worker("c", "m"))
     served = Counter(harness.send(harness.request("", service="cards")) for _ in range(20))
     assert set(served) == {"a", "b"}
     assert min(served.values()) >= 7
@@ -70,7 +70,7 @@
 
 def test_a_draining_worker_gets_no_requests_and_its_tokens_move() -> None:
     one, two = worker("a", "m"), worker("b", "m")
-    harness = Stage(one, two)
+    harness = SelectionHarness(one, two)
     for _ in range(40):
         harness.serve(harness.request())
         harness.selector.market_round(harness.now_s)
@@ -83,7 +83,7 @@
 def test_tokens_without_a_possible_holder_move_as_soon_as_there_is_one() -> None:
     # Given tokens of a class whose only holder has unloaded it
     one, two = worker("a", "m"), worker("b", "n")
-    harness = Stage(one, two)
+    harness = SelectionHarness(one, two)
     harness.serve(harness.request())
     unloaded = worker("a", "n")
     harness.apply_workers(unloaded, two)
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize(("edges", "rounds"), [(1, 8), (16, 8), (41, 4), (400, 1)])
 def test_rounds_of_trades_are_less_frequent_with_many_edges(edges: int, rounds: int) -> None:
-    harness = Stage(worker("a", "m"), worker("b", "m"), edges=edges)
+    harness = SelectionHarness(worker("a", "m"), worker("b", "m"), edges=edges)
     with patch.object(harness.selector.market, "run_round") as run_round:
         harness.advance(4.0)
     assert run_round.call_count == rounds
@@ -105,7 +105,7 @@
 
 def test_an_unresponsive_worker_is_used_only_if_no_other_holds_the_class() -> None:
     one, two = worker("a", "m", state="silent"), worker("b", "m")
-    harness = Stage(one, two)
+    harness = SelectionHarness(one, two)
     assert {harness.serve(harness.request()) for _ in range(10)} == {"b"}
     harness.apply_workers(one, with_state(two, "draining"))
     assert harness.serve(harness.request()) == "a"
@@ -118,13 +118,13 @@
     workers = [worker(f"w{number}", "m") for number in range(8)]
     chosen = set()
     for seed in range(6):
-        harness = Stage(*workers, seed=seed, edges=6)
+        harness = SelectionHarness(*workers, seed=seed, edges=6)
         chosen.add(harness.send(harness.request("m", (*SHARED_PARTS, (f"own{seed}", 500)))))
     assert len(chosen) == 1
 
 
 def test_other_parts_go_to_other_workers() -> None:
-    harness = Stage(*(worker(f"w{number}", "m") for number in range(8)))
+    harness = SelectionHarness(*(worker(f"w{number}", "m") for number in range(8)))
     served = {
         harness.serve(harness.request("m", (("head", 2000), (f"repository{n}", 4000), (f"own{n}", 500))))
         for n in range(40)
@@ -133,7 +133,7 @@
 
 
 def test_a_late_affinity_worker_loses_the_request_to_another_worker() -> None:
-    harness = Stage(*(worker(f"w{number}", "m") for number in range(4)))
+    harness = SelectionHarness(*(worker(f"w{number}", "m") for number in range(4)))
     parts = (*SHARED_PARTS, ("own", 500))
     affinity_worker = harness.serve(harness.request("m", parts))
     for number in range(10):
@@ -147,7 +147,7 @@
 
 
 def test_a_session_returns_to_the_worker_that_has_its_prompt_cached() -> None:
-    harness = Stage(*(worker(f"w{number}", "m") for number in range(8)))
+    harness = SelectionHarness(*(worker(f"w{number}", "m") for number in range(8)))
     first = harness.serve(harness.request("m", (*SHARED_PARTS, ("session", 1500))))
     again = [harness.serve(harness.request("m", (*SHARED_PARTS, ("session", 1500)))) for _ in range(5)]
     assert again == [first] * 5
@@ -155,14 +155,14 @@
 
 def test_a_session_moves_when_its_worker_leaves() -> None:
     workers = [worker(f"w{number}", "m") for number in range(4)]
-    harness = Stage(*workers)
+    harness = SelectionHarness(*workers)
     first = harness.serve(harness.request("m", (*SHARED_PARTS, ("session", 1500))))
     harness.apply_workers(*(with_state(w, "draining") if w.instance == first else w for w in workers))
     assert harness.serve(harness.request("m", (*SHARED_PARTS, ("session", 1500)))) != first
 
 
 def test_the_prompt_cache_estimate_of_a_model_is_cleared_when_it_is_unloaded() -> None:
-    harness = Stage(worker("a", "m", "n"))
+    harness = SelectionHarness(worker("a", "m", "n"))
     request = harness.request("m", (*SHARED_PARTS, ("own", 500)))
     harness.serve(request)
     prompt_cache = harness.selector._workers["a"].prompt_cache
@@ -175,7 +175,7 @@
 
 
 def test_load_reports_direct_requests_to_the_worker_with_free_capacity() -> None:
-    harness = Stage(worker("a", "m"), worker("b", "m"))
+    harness = SelectionHarness(worker("a", "m"), worker("b", "m"))
     harness.serve(harness.request())
     harness.selector.load_reported("a", 16, 4, 16, harness.now_s)
     harness.selector.load_reported("b", 1, 0, 16, harness.now_s)
@@ -183,7 +183,7 @@
 
 
 def test_late_first_events_divert_requests_for_a_while() -> None:
-    harness = Stage(worker("a", "m"), worker("b", "m"))
+    harness = SelectionHarness(worker("a", "m"), worker("b", "m"))
     for name in ("a", "b") * 6:
         harness.serve_at(harness.request(prompt_tokens=1000), name, 0.1)
     harness.serve_at(harness.request(prompt_tokens=1000), "a", 1.5)
@@ -195,7 +195,7 @@
     "outcome", [Outcome.FAILED, Outcome.LOST, Outcome.UNREACHABLE, Outcome.REJECTED_FULL]
 )
 def test_failures_add_a_penalty_that_decays(outcome: Outcome) -> None:
-    harness = Stage(worker("a", "m"), worker("b", "m"))
+    harness = SelectionHarness(worker("a", "m"), worker("b", "m"))
     request = harness.request()
     harness.selector.sent(request, "a", harness.now_s)
     harness.selector.ended(request, "a", outcome, harness.now_s)
@@ -209,7 +209,7 @@
 
 
 def test_the_only_holder_is_used_despite_its_failures() -> None:
-    harness = Stage(worker("a", "m"))
+    harness = SelectionHarness(worker("a", "m"))
     for _ in range(8):
         request = harness.request()
         harness.selector.sent(request, "a", harness.now_s)
@@ -218,7 +218,7 @@
 
 
 def test_a_worker_that_answered_421_for_a_model_counts_as_no_holder() -> None:
-    harness = Stage(worker("a", "m"), worker("b", "m"))
+    harness = SelectionHarness(worker("a", "m"), worker("b", "m"))
     request = harness.request()
     harness.selector.sent(request, "a", harness.now_s)
     harness.selector.ended(request, "a", Outcome.MISDIRECTED, harness.now_s)
@@ -228,7 +228,7 @@
 # --- priority -------------------------------------------------------------------------------------------
 
 
-def priority_of(harness: Stage, **request: int) -> int:
+def priority_of(harness: SelectionHarness, **request: int) -> int:
     choice = harness.choose(harness.request(**request))  # type: ignore[arg-type]
     assert isinstance(choice, ChosenWorker) and choice.priority_header is not None
     return choice.priority_header
@@ -250,7 +250,7 @@
 
 def test_a_request_waits_for_a_load_that_ends_in_time() -> None:
     arriving = (ArrivingModel("m", "", 0.4),)
-    harness = Stage(worker("a", "n", arriving=arriving))
+    harness = SelectionHarness(worker("a", "n", arriving=arriving))
     assert isinstance(harness.choose(harness.request("m", objective_s=1.0)), WaitForWorker)
     harness.now_s += 0.4
     harness.apply_workers(worker("a", "n", "m"))
@@ -259,7 +259,7 @@
 
 def test_a_request_that_a_load_makes_late_is_refused_with_retry_after() -> None:
     arriving = (ArrivingModel("m", "", 1.2),)
-    harness = Stage(worker("a", "n", arriving=arriving))
+    harness = SelectionHarness(worker("a", "n", arriving=arriving))
     refusal = harness.choose(harness.request("m", objective_s=0.5, time_s=6.0))
     assert isinstance(refusal, RefusedRequest)
     assert refusal.code == ResultCode.MODEL_LOADING
@@ -269,7 +269,7 @@
 
 def test_a_retry_waits_for_the_load() -> None:
     arriving = (ArrivingModel("m", "", 0.8),)
-    harness = Stage(worker("a", "n", arriving=arriving))
+    harness = SelectionHarness(worker("a", "n", arriving=arriving))
     harness.choose(harness.request("m", objective_s=0.5, time_s=6.0))
     again = harness.request("m", objective_s=0.5, time_s=4.0)
     assert isinstance(harness.choose(again), WaitForWorker)
@@ -277,7 +277,7 @@
 
 def test_a_retry_waits_longer_for_a_load_that_is_under_way() -> None:
     # Given a load that ends shortly before the client gives up
-    harness = Stage(worker("a", "n", arriving=(ArrivingModel("m", "", 1.5),)))
+    harness = SelectionHarness(worker("a", "n", arriving=(ArrivingModel("m", "", 1.5),)))
     harness.choose(harness.request("m", objective_s=0.5, time_s=6.0))
     again = harness.request("m", objective_s=0.5, time_s=4.0)
     # When the client retries
@@ -286,7 +286,7 @@
     assert isinstance(choice, WaitForWorker)
     assert 1.5 < choice.wait_s < 2.0
     # And it is refused at once if the load would end too late
-    harness = Stage(worker("a", "n", arriving=(ArrivingModel("m", "", 1.9),)))
+    harness = SelectionHarness(worker("a", "n", arriving=(ArrivingModel("m", "", 1.9),)))
     harness.choose(harness.request("m", objective_s=0.5, time_s=6.0))
     again = harness.request("m", objective_s=0.5, time_s=4.0)
     assert isinstance(harness.choose(again), RefusedRequest)
@@ -294,7 +294,7 @@
 
 def test_a_request_waits_for_a_load_that_ends_after_any_retry_after() -> None:
     arriving = (ArrivingModel("m", "", 2.0),)
-    harness = Stage(worker("a", "n", arriving=arriving))
+    harness = SelectionHarness(worker("a", "n", arriving=arriving))
     choice = harness.choose(harness.request("m", objective_s=0.6, time_s=5.0))
     assert isinstance(choice, WaitForWorker)
     assert (
@@ -303,7 +303,7 @@
 
 
 def test_no_request_is_held_for_half_of_the_time_until_its_client_gives_up() -> None:
-    harness = Stage(worker("a", "n"))
+    harness = SelectionHarness(worker("a", "n"))
     request = harness.request("m", objective_s=0.6, time_s=3.6)
     choice = harness.choose(request)
     while isinstance(choice, WaitForWorker):
@@ -315,7 +315,7 @@
 
 
 def test_a_request_without_any_worker_of_its_service_gets_no_worker() -> None:
-    harness = Stage(worker("a", "n"))
+    harness = SelectionHarness(worker("a", "n"))
     refusal = harness.choose(harness.request("", service="cards", objective_s=0.1, time_s=0.3))
     while isinstance(refusal, WaitForWorker):
         harness.now_s += refusal.wait_s
@@ -332,7 +332,7 @@
 
 
 def test_a_request_is_refused_if_all_slots_are_taken_and_its_answer_would_be_too_late() -> None:
-    harness = Stage(worker("a", service="cards", slots=2), worker("b", service="cards", slots=2))
+    harness = SelectionHarness(worker("a", service="cards", slots=2), worker("b", service="cards", slots=2))
     for name in ("a", "b") * 6:
         harness.serve_at(harness.request("", service="cards"), name, 0.5, 0.0)
     for name in ("a", "b"):
@@ -347,7 +347,7 @@
 
 
 def test_demand_reports_requests_workload_and_requests_without_a_holder() -> None:
-    harness = Stage(worker("a", "m"))
+    harness = SelectionHarness(worker("a", "m"))
     for _ in range(4):
         harness.serve(harness.request("m"), 0.1, 0.4)
     waiting = harness.request("n/x", objective_s=2.0)
@@ -362,7 +362,7 @@
 
 
 def test_the_learned_wait_grows_with_the_measured_load_times() -> None:
-    harness = Stage(worker("a", "n"))
+    harness = SelectionHarness(worker("a", "n"))
     before = harness.choose(harness.request("m", objective_s=0.2, time_s=30.0))
     assert isinstance(before, RefusedRequest) and before.retry_after_s is not None
     harness.now_s += 6.0
@@ -380,7 +380,7 @@
     workers = [worker(f"w{number}", "m") for number in range(6)]
     chosen = set()
     for seed in range(12):
-        harness = Stage(*workers, seed=seed, edges=12)
+        harness = SelectionHarness(*workers, seed=seed, edges=12)
         for record in workers:
             harness.selector.load_reported(record.instance, 2, 0, 16, harness.now_s)
         chosen.add(harness.send(harness.request()))
@@ -389,7 +389,7 @@
 
 def test_the_same_seed_and_events_give_the_same_choices() -> None:
     def run() -> list[str]:
-        harness = Stage(*(worker(f"w{number}", "m") for number in range(5)), seed=3, edges=4)
+        harness = SelectionHarness(*(worker(f"w{number}", "m") for number in range(5)), seed=3, edges=4)
         rng = random.Random(5)
         served = []
         for number in range(40):
@@ -403,21 +403,21 @@
 
 def test_a_worker_with_long_stream_pauses_gets_no_streams_while_another_is_free() -> None:
     # Given two holders with the same load, one of them with longer pauses in its streams
-    harness = Stage(worker("a", "m"), worker("b", "m"))
+    harness = SelectionHarness(worker("a", "m"), worker("b", "m"))
     stream = replace(harness.request(), pause_objective_s=0.4)
     for _ in range(8):
-        harness.selector.stream_passed(stream, "a", 0.5)
-        harness.selector.stream_passed(stream, "b", 0.2)
+        harness.selector.stream_forwarded(stream, "a", 0.5)
+        harness.selector.stream_forwarded(stream, "b", 0.2)
     # When streams are requested, then the other one gets them
     streams = [replace(harness.request(), pause_objective_s=0.4) for _ in range(10)]
     assert {harness.serve(one) for one in streams} == {"b"}
 
 
 def test_stream_pauses_do_not_affect_requests_without_a_pause_objective() -> None:
-    harness = Stage(worker("a", "m"), worker("b", "m"))
+    harness = SelectionHarness(worker("a", "m"), worker("b", "m"))
     stream = replace(harness.request(), pause_objective_s=0.4)
     for _ in range(8):
-        harness.selector.stream_passed(stream, "a", 0.5)
+        harness.selector.stream_forwarded(stream, "a", 0.5)
     served = set()
     for _ in range(30):
         served.add(harness.serve(harness.request()))
@@ -430,7 +430,7 @@
 
 def test_a_worker_found_failing_by_other_edges_gets_no_requests_while_another_holds_the_class() -> None:
     # Given two holders, one of which several edges found failing
-    harness = Stage(replace(worker("a", "m"), troubled=True), worker("b", "m"))
+    harness = SelectionHarness(replace(worker("a", "m"), troubled=True), worker("b", "m"))
     # When requests arrive, then the other one gets them
     assert {harness.serve(harness.request()) for _ in range(10)} == {"b"}
     # But if both are found failing, both are used
@@ -444,17 +444,17 @@
 
 
 def test_failures_are_reported_to_the_placement_owner_once() -> None:
-    harness = Stage(worker("a", "m"))
+    harness = SelectionHarness(worker("a", "m"))
     request = harness.request()
     harness.selector.sent(request, "a", harness.now_s)
     harness.selector.ended(request, "a", Outcome.FAILED, harness.now_s)
-    assert harness.selector.take_failing() == ("a",)
-    assert harness.selector.take_failing() == ()
+    assert harness.selector.take_failed_workers() == ("a",)
+    assert harness.selector.take_failed_workers() == ()
 
 
 def test_a_class_whose_only_holder_is_unreachable_counts_as_missing() -> None:
     # Given the only holder of a class, to which connections fail
-    harness = Stage(worker("a", "m"), worker("b", "n"))
+    harness = SelectionHarness(worker("a", "m"), worker("b", "n"))
     request = harness.request("m", objective_s=3.0)
     harness.selector.sent(request, "a", harness.now_s)
     harness.selector.ended(request, "a", Outcome.UNREACHABLE, harness.now_s)
@@ -469,7 +469,7 @@
 
 def test_a_worker_that_answered_421_is_soon_tried_again() -> None:
     # Given the only holder of a class, which answers 421 for it
-    harness = Stage(worker("a", "m"))
+    harness = SelectionHarness(worker("a", "m"))
     request = harness.request("m", objective_s=2.0)
     harness.selector.sent(request, "a", harness.now_s)
     harness.selector.ended(request, "a", Outcome.MISDIRECTED, harness.now_s)
@@ -483,10 +483,10 @@
 
 def test_an_edge_without_a_free_connection_reports_no_failure() -> None:
     # Given the only holder of a class, to which this edge has no free connection
-    harness = Stage(worker("a", "m"))
+    harness = SelectionHarness(worker("a", "m"))
     request = harness.request("m")
     harness.selector.sent(request, "a", harness.now_s)
     harness.selector.ended(request, "a", Outcome.NO_CONNECTION_FREE, harness.now_s)
     # Then no failure is reported to other edges, and the next request may be sent there at once
-    assert harness.selector.take_failing() == ()
+    assert harness.selector.take_failed_workers() == ()
     assert harness.send(harness.request("m")) == "a"
--- a/tests/system/test_selection_tokens.py
+++ b/tests/system/test_selection_tokens.py
@@ -9,7 +9,7 @@
 from arrowfold.selection.engine_worker import EngineWorker
 from arrowfold.selection.estimates import PriorMean
 from arrowfold.selection.interface import ChosenWorker, Outcome, RequestProfile
-from tests.system.selection_stage import Stage, worker
+from tests.system.selection_stage import SelectionHarness, worker
 
 NAMES = [f"w{number}" for number in range(5)]
 MODELS = ["m", "n", "m/x", "n/x,y"]
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.harness = Stage(edges=3)
+        self.harness = SelectionHarness(edges=3)
         self.seen: dict[str, EngineWorker] = {}
 
     @rule(
@@ -90,7 +90,7 @@
 
 @given(strategies.integers(1, 1_000))
 def test_many_edges_have_fewer_tokens_each_but_at_least_the_minimum(edges: int) -> None:
-    harness = Stage(edges=edges)
+    harness = SelectionHarness(edges=edges)
     options = harness.selector.options
     tokens = harness.selector.market.tokens_per_worker
     assert options.fewest_tokens_per_worker <= tokens <= options.tokens_per_worker
