--- a/arrowfold/controlplane/node.py
+++ b/arrowfold/controlplane/node.py
@@ -48,7 +48,7 @@
 from arrowfold.node.logs import RateLimitedLog
 from arrowfold.node.settings import CloudApi, NodeSettings
 from arrowfold.node.traces import TraceWriter
-from arrowfold.placement.ceiling import ANSWER_JITTER_S
+from arrowfold.placement.ceiling import MAX_ORDER_DELAY_S
 from arrowfold.placement.options import PlacementOptions
 from arrowfold.registry.workers import WorkerRegistry
 from arrowfold.replication.durable import DurableImage
@@ -125,7 +125,7 @@
         presence = EdgePresence(clock, settings.bounds.budgetWindowS)
         notices = PlacementNotices(lambda: distributor.wake(), clock)
         distributor = Distributor(replica, registry, presence, lambda: _role_owners(replica), notices)
-        wait_s = hand_over_wait_s(settings.bounds, ANSWER_JITTER_S)
+        wait_s = hand_over_wait_s(settings.bounds, MAX_ORDER_DELAY_S)
         authority = RoleAuthority(replica, clock, replica.authority_until, wait_s)
         placement = PlacementService(
             replica,
--- a/arrowfold/controlplane/placement_executor.py
+++ b/arrowfold/controlplane/placement_executor.py
@@ -19,7 +19,7 @@
 from arrowfold.node.settings import Bounds
 from arrowfold.node.traces import TraceWriter
 from arrowfold.placement.catalogue import ModelCatalogue
-from arrowfold.placement.ceiling import ANSWER_JITTER_S, LoadCeiling
+from arrowfold.placement.ceiling import MAX_ORDER_DELAY_S, LoadRateLimiter
 from arrowfold.placement.corrections import same_corrections
 from arrowfold.placement.load_trace import KIND as LOAD_KIND
 from arrowfold.placement.options import PlacementOptions
@@ -35,7 +35,7 @@
 from arrowfold.placement.placer import ServicePlacer
 
 CONNECT_TIMEOUT_S = 0.5
-ANSWER_TIMEOUT_S = ANSWER_JITTER_S
+ANSWER_TIMEOUT_S = MAX_ORDER_DELAY_S
 MIN_LEASE_REMAINING_S = (
     0.15  # remaining lease time required to send an order, so that it arrives under the lease
 )
@@ -155,8 +155,8 @@
             return
         now_s = self._clock()
         if self._placer is None:
-            ceiling = LoadCeiling(
-                catalogue.load_rate_s, self._bounds.ceilingWindowS, self._bounds.ceilingOverage, now_s
+            ceiling = LoadRateLimiter(
+                catalogue.load_rate_per_s, self._bounds.ceilingWindowS, self._bounds.ceilingOverage, now_s
             )
             self._placer = ServicePlacer(catalogue, ceiling, self._options)
         self._placer.apply_catalogue(catalogue)
--- a/arrowfold/controlplane/placement_service.py
+++ b/arrowfold/controlplane/placement_service.py
@@ -18,7 +18,7 @@
 from arrowfold.node.logs import RateLimitedLog
 from arrowfold.node.settings import Bounds
 from arrowfold.node.traces import TraceWriter
-from arrowfold.placement.catalogue import ModelCatalogue, catalogue_of
+from arrowfold.placement.catalogue import ModelCatalogue, parse_catalogue
 from arrowfold.placement.options import PlacementOptions
 from arrowfold.replication.proposals import ReplicaPort
 from arrowfold.replication.roles import HeldRoleLease, RoleAuthority
@@ -116,5 +116,5 @@
         document = read_object(state.configuration).ok()
         if document is None:
             return
-        catalogues = (catalogue_of(service) for service in document.get("services", ()))
+        catalogues = (parse_catalogue(service) for service in document.get("services", ()))
         self._catalogues = {catalogue.service: catalogue for catalogue in catalogues if catalogue is not None}
--- a/arrowfold/controlplane/scaling_service.py
+++ b/arrowfold/controlplane/scaling_service.py
@@ -17,7 +17,7 @@
 from arrowfold.controlplane.scaling_subject import ScalingPorts, ScalingTenure, ServiceZone
 from arrowfold.internal.messages import DemandReport, WorkerRecord
 from arrowfold.node.logs import RateLimitedLog
-from arrowfold.placement.catalogue import ModelCatalogue, catalogue_of
+from arrowfold.placement.catalogue import ModelCatalogue, parse_catalogue
 from arrowfold.replication.proposals import ReplicaPort
 from arrowfold.replication.roles import HeldRoleLease, RoleAuthority
 from arrowfold.scaling.options import ScalingOptions
@@ -148,7 +148,7 @@
         bounds = scaling_bounds_of(service)
         if bounds is not None:
             scaled_services[bounds.service] = _ScaledService(
-                bounds, _models_per_worker(catalogue_of(service))
+                bounds, _models_per_worker(parse_catalogue(service))
             )
     return scaled_services
 
--- a/arrowfold/placement/catalogue.py
+++ b/arrowfold/placement/catalogue.py
@@ -27,7 +27,7 @@
     models: Mapping[str, ModelSpec]
     weights_mb: float  # memory of a worker for weights and adapters together
     adapter_capacity: int  # adapters that a worker can hold, across all its models
-    load_rate_s: float  # loads per second that the weight store allows, across all workers
+    load_rate_per_s: float  # loads per second that the weight store allows, across all workers
 
     def has_class(self, model: str, adapter: str = "") -> bool:
         """Returns True if the configuration lists this model and, unless empty, this adapter of it."""
@@ -42,10 +42,10 @@
     def parallel_loads(self) -> int:
         """Number of concurrent loads that the weight store carries at full speed (rate x load time)."""
         longest = max((spec.load_time_s for spec in self.models.values()), default=1.0)
-        return max(1, math.ceil(self.load_rate_s * longest - 1e-9))
+        return max(1, math.ceil(self.load_rate_per_s * longest - 1e-9))
 
 
-def catalogue_of(service: Mapping[str, Any]) -> ModelCatalogue | None:
+def parse_catalogue(service: Mapping[str, Any]) -> ModelCatalogue | None:
     """Returns the catalogue of one service of a valid configuration document; None if it lists no models."""
     engine = service.get("engine") or {}
     documents = engine.get("models") or []
@@ -57,7 +57,7 @@
         models={spec.name: spec for spec in specs},
         weights_mb=float(engine.get("weightsMb", 0.0)),
         adapter_capacity=int(engine.get("adapterCapacity", 0)),
-        load_rate_s=float(engine.get("loadRateS", 1.0)),
+        load_rate_per_s=float(engine.get("loadRateS", 1.0)),
     )
 
 
--- a/arrowfold/placement/demand.py
+++ b/arrowfold/placement/demand.py
@@ -28,7 +28,7 @@
     adapter: str = ""
 
 
-class Average:
+class DecayingRate:
     """Rate of events per second, averaged with exponential decay."""
 
     __slots__ = ("_time_constant_s", "_value", "_at_s")
@@ -77,9 +77,9 @@
 
     def __init__(self, options: DemandOptions) -> None:
         self._options = options
-        self._fast = Average(options.fast_s)
-        self._slow = Average(options.slow_s)
-        self._retention = Average(options.rare_s)
+        self._fast = DecayingRate(options.fast_s)
+        self._slow = DecayingRate(options.slow_s)
+        self._retention = DecayingRate(options.rare_s)
         self._cached_rates = _Rates(math.nan, 0.0, 0.0)  # valid for their `at_s` only
         self.duration_s = DEFAULT_DURATION_S
         self.has_duration = False
--- a/arrowfold/placement/placer.py
+++ b/arrowfold/placement/placer.py
@@ -12,7 +12,7 @@
 
 from arrowfold.internal.messages import DemandReport, WorkerCorrection, WorkerRecord
 from arrowfold.placement.catalogue import ModelCatalogue
-from arrowfold.placement.ceiling import LoadCeiling
+from arrowfold.placement.ceiling import LoadRateLimiter
 from arrowfold.placement.corrections import correction_of
 from arrowfold.placement.demand import DemandEstimator, ModelClass
 from arrowfold.placement.failure_reports import FailureReports
@@ -50,7 +50,10 @@
     """
 
     def __init__(
-        self, catalogue: ModelCatalogue, load_limiter: LoadCeiling, options: PlacementOptions | None = None
+        self,
+        catalogue: ModelCatalogue,
+        load_limiter: LoadRateLimiter,
+        options: PlacementOptions | None = None,
     ) -> None:
         options = options or PlacementOptions()
         self._room_options = options.rooms
--- a/arrowfold/placement/room_reserve.py
+++ b/arrowfold/placement/room_reserve.py
@@ -8,7 +8,7 @@
 import math
 
 from arrowfold.placement.catalogue import ModelCatalogue
-from arrowfold.placement.demand import Average
+from arrowfold.placement.demand import DecayingRate
 from arrowfold.placement.eviction import PlanningContext, Victim
 from arrowfold.placement.fleet import PlacementFleet
 from arrowfold.placement.intents import LoadIntents
@@ -27,7 +27,7 @@
         self._fleet = fleet
         self._intents = intents
         self._options = options
-        self._loads = Average(RATE_TIME_CONSTANT_S)
+        self._loads = DecayingRate(RATE_TIME_CONSTANT_S)
 
     def note_urgent_load(self, now_s: float) -> None:
         """Records that a load for a waiting request is being sent."""
--- a/arrowfold/scaling/service_load.py
+++ b/arrowfold/scaling/service_load.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from arrowfold.internal.messages import DemandReport
-from arrowfold.placement.demand import Average
+from arrowfold.placement.demand import DecayingRate
 
 AVERAGING_TIME_S = 3.0  # time constant of the running requests: longer than the interval of reports
 REPORT_TIMEOUT_S = 2.0  # maximum age of the last report; edges with traffic report more often
@@ -32,7 +32,7 @@
         """`models_kept_s`: how long a model counts after its last request."""
         self._service = service
         self._models_kept_s = models_kept_s
-        self._running = Average(AVERAGING_TIME_S)
+        self._running = DecayingRate(AVERAGING_TIME_S)
         self._last_request_s: dict[str, float] = {}  # by model
         self._reported_since_s = math.inf
         self._last_report_s = -math.inf
--- a/benchmarks/capacity/system/placements.py
+++ b/benchmarks/capacity/system/placements.py
@@ -8,8 +8,8 @@
 from arrowfold.configuration.json_text import read_object
 from arrowfold.internal.codec import decode, encode
 from arrowfold.internal.messages import ClassDemand, DemandReport, WorkerRecord
-from arrowfold.placement.catalogue import ModelCatalogue, catalogue_of
-from arrowfold.placement.ceiling import LoadCeiling
+from arrowfold.placement.catalogue import ModelCatalogue, parse_catalogue
+from arrowfold.placement.ceiling import LoadRateLimiter
 from arrowfold.placement.orders import WorkerReport
 from arrowfold.placement.placer import ServicePlacer
 from benchmarks.capacity.results import Figures
@@ -35,7 +35,7 @@
     """The catalogue of the service in a configuration of so many models."""
     document = read_object(document_text(models, target.ADAPTERS, 1)).ok()
     assert document is not None
-    found = catalogue_of(document["services"][0])
+    found = parse_catalogue(document["services"][0])
     assert found is not None
     return found
 
@@ -58,7 +58,7 @@
 
 def settled_placer(records: list[WorkerRecord], now_s: float) -> ServicePlacer:
     """An owner that has read every worker's report and knows no demand."""
-    ceiling = LoadCeiling(LEAST_LOAD_RATE_S, WINDOW_S, OVERAGE, now_s - 60.0)
+    ceiling = LoadRateLimiter(LEAST_LOAD_RATE_S, WINDOW_S, OVERAGE, now_s - 60.0)
     placer = ServicePlacer(model_catalogue(target.MODELS), ceiling)
     placer.apply_workers(records, now_s)
     for record in records:
--- a/tests/system/placement_world.py
+++ b/tests/system/placement_world.py
@@ -15,7 +15,7 @@
     WorkerRecord,
 )
 from arrowfold.placement.catalogue import ModelCatalogue, ModelSpec
-from arrowfold.placement.ceiling import LoadCeiling
+from arrowfold.placement.ceiling import LoadRateLimiter
 from arrowfold.placement.options import PlacementOptions
 from arrowfold.placement.orders import (
     Operation,
@@ -36,11 +36,11 @@
 
 
 def catalogue(
-    models: int = 12, *, load_time_s: float = 0.6, load_rate_s: float = 4.2, adapters: int = 20
+    models: int = 12, *, load_time_s: float = 0.6, load_rate_per_s: float = 4.2, adapters: int = 20
 ) -> ModelCatalogue:
     """Returns a catalogue of models m0, m1, ... of 70 GB; a worker can hold three, and eight adapters."""
     specs = [ModelSpec(f"m{index}", 70_000.0, load_time_s, adapters, 60.0) for index in range(models)]
-    return ModelCatalogue(SERVICE, {spec.name: spec for spec in specs}, 220_000.0, 8, load_rate_s)
+    return ModelCatalogue(SERVICE, {spec.name: spec for spec in specs}, 220_000.0, 8, load_rate_per_s)
 
 
 @dataclass
@@ -207,7 +207,7 @@
         """Makes another node the owner, with a higher fencing token."""
         self.token += 1
         self._orders_in_flight.clear()
-        load_limiter = LoadCeiling(self.models.load_rate_s, WINDOW_S, OVERAGE, self.now_s)
+        load_limiter = LoadRateLimiter(self.models.load_rate_per_s, WINDOW_S, OVERAGE, self.now_s)
         self.placer = ServicePlacer(self.models, load_limiter, self.options)
 
     def report_requests(
--- a/tests/system/test_placement_executor.py
+++ b/tests/system/test_placement_executor.py
@@ -133,7 +133,7 @@
 
 
 async def executor_with(worker: LoopbackWorker, lease: Lease) -> tuple[PlacementExecutor, Ports, Any]:
-    ports = Ports(record(await worker.start()), catalogue(load_rate_s=1000.0))
+    ports = Ports(record(await worker.start()), catalogue(load_rate_per_s=1000.0))
     session = order_session()
     clock = asyncio.get_running_loop().time
     return PlacementExecutor(SERVICE, lease, ports, Bounds(), session, clock), ports, session
--- a/tests/system/test_placement_policies.py
+++ b/tests/system/test_placement_policies.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from arrowfold.internal.messages import ClassDemand
-from arrowfold.placement.ceiling import LoadCeiling
+from arrowfold.placement.ceiling import LoadRateLimiter
 from arrowfold.placement.demand import DemandEstimator, ModelClass
 from arrowfold.placement.options import DemandOptions, PlacementOptions, PlannerOptions, ValuationOptions
 from arrowfold.placement.orders import Operation
@@ -18,9 +18,11 @@
     return [order.model for order, _ in simulation.answers if order.operation is Operation.LOAD]
 
 
-def full_simulation(workers: int, *, models: int = 100, load_rate_s: float = 17.0) -> PlacementSimulation:
+def full_simulation(workers: int, *, models: int = 100, load_rate_per_s: float = 17.0) -> PlacementSimulation:
     """Returns a simulation whose workers hold three models each, all different."""
-    simulation = PlacementSimulation(catalogue(models=models, load_rate_s=load_rate_s), workers=workers)
+    simulation = PlacementSimulation(
+        catalogue(models=models, load_rate_per_s=load_rate_per_s), workers=workers
+    )
     for index, worker in enumerate(simulation.workers.values()):
         simulation.set_holdings(worker.instance, *(f"m{3 * index + offset}" for offset in range(3)))
     return simulation
@@ -30,7 +32,7 @@
     # Passes with `copies_wait` disabled as well: missing models are planned first, and one for which no
     # worker was found leaves none to an additional copy either (docs/decisions.md).
     # Given a store that allows few loads, a model with slightly rising demand, and missed rare models
-    simulation = full_simulation(6, load_rate_s=1.0)
+    simulation = full_simulation(6, load_rate_per_s=1.0)
     simulation.run(4.0)
     rare_models = iter(range(60, 100))
 
@@ -125,7 +127,7 @@
     assert simulation.holders_of("m0") == []
     placer = simulation.placer
     assert placer is not None
-    placer._load_limiter = LoadCeiling(0.0, 5.0, 0.0, simulation.now_s)
+    placer._load_limiter = LoadRateLimiter(0.0, 5.0, 0.0, simulation.now_s)
     simulation.run(4.0)
     # Then a model that it held before is loaded when missed again, and one that it never held is not
     simulation.report_requests("m0", missing=True)
--- a/tests/system/test_placement_properties.py
+++ b/tests/system/test_placement_properties.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from arrowfold.placement.ceiling import LoadCeiling
+from arrowfold.placement.ceiling import LoadRateLimiter
 from arrowfold.placement.options import PlacementOptions, RoomOptions
 from tests.system.placement_world import OVERAGE, WINDOW_S, PlacementSimulation, catalogue
 
@@ -22,7 +22,7 @@
 
     @initialize(
         load_time_s=st.sampled_from([0.2, 0.6, 3.0]),
-        load_rate_s=st.sampled_from([1.0, 2.1, 4.2]),
+        load_rate_per_s=st.sampled_from([1.0, 2.1, 4.2]),
         rooms=st.builds(
             RoomOptions,
             least_rooms=st.sampled_from([0, 2, 100]),
@@ -37,10 +37,10 @@
         load_time_factor=st.sampled_from([1.0, 2.5]),
     )
     def start(
-        self, load_time_s: float, load_rate_s: float, rooms: RoomOptions, load_time_factor: float
+        self, load_time_s: float, load_rate_per_s: float, rooms: RoomOptions, load_time_factor: float
     ) -> None:
         self.simulation = PlacementSimulation(
-            catalogue(MODELS, load_time_s=load_time_s, load_rate_s=load_rate_s),
+            catalogue(MODELS, load_time_s=load_time_s, load_rate_per_s=load_rate_per_s),
             WORKERS,
             PlacementOptions(rooms=rooms),
             load_time_factor,
@@ -109,7 +109,7 @@
     @invariant()
     def the_store_is_within_its_rate_limit(self) -> None:
         if hasattr(self, "simulation"):
-            limit = self.simulation.models.load_rate_s * WINDOW_S * OVERAGE + 3.0
+            limit = self.simulation.models.load_rate_per_s * WINDOW_S * OVERAGE + 3.0
             assert self.simulation.max_loads_in_window() <= limit
 
     @invariant()
@@ -146,7 +146,7 @@
 
     @rule()
     def take_over(self) -> None:
-        self.load_limiter = LoadCeiling(self.rate_per_s, self.window_s, self.overage, self.now_s)
+        self.load_limiter = LoadRateLimiter(self.rate_per_s, self.window_s, self.overage, self.now_s)
 
     @rule(duration_s=st.floats(0.0, 6.0), late_s=st.floats(0.0, 1.0))
     def load_all_the_time(self, duration_s: float, late_s: float) -> None:
--- a/tests/system/test_placement_stories.py
+++ b/tests/system/test_placement_stories.py
@@ -308,7 +308,7 @@
         simulation.run(1.0, report_demand)
         simulation.take_over()
     # Then no window has more loads than the store allows
-    assert simulation.max_loads_in_window() <= models.load_rate_s * 5.0 * 1.1 + 3.0
+    assert simulation.max_loads_in_window() <= models.load_rate_per_s * 5.0 * 1.1 + 3.0
     assert len(simulation.store_loads) > 15
 
 
@@ -396,7 +396,7 @@
 
 def test_nothing_is_unloaded_for_a_load_that_the_rate_limit_delays() -> None:
     # Given five full workers, and a store that allows few loads
-    simulation = PlacementSimulation(catalogue(30, load_time_s=3.0, load_rate_s=0.5), workers=5)
+    simulation = PlacementSimulation(catalogue(30, load_time_s=3.0, load_rate_per_s=0.5), workers=5)
     for index in range(5):
         simulation.set_holdings(f"w{index}", *(f"m{3 * index + offset}" for offset in range(3)))
     simulation.run(10.0)
@@ -411,7 +411,7 @@
 
 def test_a_load_refused_with_a_conflict_does_not_count_against_the_rate_limit() -> None:
     # Given a rate limit of two loads at once, and workers that have accepted orders of another owner
-    simulation = PlacementSimulation(catalogue(load_time_s=2.0, load_rate_s=1.0), workers=2)
+    simulation = PlacementSimulation(catalogue(load_time_s=2.0, load_rate_per_s=1.0), workers=2)
     simulation.run(10.0)
     for worker in simulation.workers.values():
         worker.accept_foreign_order(simulation.now_s)
@@ -426,7 +426,7 @@
 
 def test_one_holder_of_a_model_with_adapters_stays_free_for_them() -> None:
     # Given two holders of a model whose adapters are requested, slow loads, and two busier workers
-    simulation = PlacementSimulation(catalogue(load_time_s=3.0, load_rate_s=2.1), workers=4)
+    simulation = PlacementSimulation(catalogue(load_time_s=3.0, load_rate_per_s=2.1), workers=4)
     simulation.set_holdings("w0", "m0")
     simulation.set_holdings("w1", "m0")
     simulation.set_holdings("w2", "m1", "m3", "m4")
@@ -508,7 +508,7 @@
 
 def test_an_additional_copy_of_a_hot_model_comes_before_rare_models_missed_by_one_request() -> None:
     # Given a hot model with one holder, and a store that allows one load a second
-    simulation = PlacementSimulation(catalogue(models=40, load_time_s=0.6, load_rate_s=1.0), workers=4)
+    simulation = PlacementSimulation(catalogue(models=40, load_time_s=0.6, load_rate_per_s=1.0), workers=4)
     simulation.set_holdings("w0", "m0")
     simulation.run(2.0)
     rare_models = iter(range(10, 40))
@@ -532,7 +532,7 @@
 
 def test_an_additional_copy_is_loaded_on_the_least_busy_worker() -> None:
     # Given a hot model, and two workers with the same free memory, of which one runs another hot model
-    simulation = PlacementSimulation(catalogue(load_rate_s=4.0), workers=3)
+    simulation = PlacementSimulation(catalogue(load_rate_per_s=4.0), workers=3)
     simulation.set_holdings("w0", "m0")
     simulation.set_holdings("w1", "m1")
     simulation.set_holdings("w2", "m2")
@@ -555,7 +555,7 @@
 @pytest.mark.parametrize(("workers", "emptied"), [(3, 2), (6, 2), (20, 6)])
 def test_one_worker_in_three_may_be_emptied_at_a_time(workers: int, emptied: int) -> None:
     # Given full workers whose models all have requests that run for some seconds
-    simulation = PlacementSimulation(catalogue(models=100, load_rate_s=17.0), workers=workers)
+    simulation = PlacementSimulation(catalogue(models=100, load_rate_per_s=17.0), workers=workers)
     for index, worker in enumerate(simulation.workers.values()):
         simulation.set_holdings(worker.instance, *(f"m{3 * index + offset}" for offset in range(3)))
         worker.running_until_s = {model: simulation.now_s + 10.0 for model in worker.models}
@@ -570,7 +570,7 @@
 
 def test_loads_continue_while_other_unloads_wait_for_running_requests() -> None:
     # Given many workers, of which two have long-running requests and the others none
-    simulation = PlacementSimulation(catalogue(models=100, load_rate_s=17.0), workers=20)
+    simulation = PlacementSimulation(catalogue(models=100, load_rate_per_s=17.0), workers=20)
     for index, worker in enumerate(simulation.workers.values()):
         simulation.set_holdings(worker.instance, *(f"m{3 * index + offset}" for offset in range(3)))
     for name in ("w0", "w1"):
@@ -593,7 +593,7 @@
 
 def test_the_model_missed_for_longest_is_loaded_first() -> None:
     # Given a store that allows one load in two seconds, and a request that waits for a rare model
-    simulation = PlacementSimulation(catalogue(models=40, load_rate_s=0.5), workers=3)
+    simulation = PlacementSimulation(catalogue(models=40, load_rate_per_s=0.5), workers=3)
     simulation.report_requests("m39", missing=True)
     # When the waiting request is reported repeatedly, and another rare model is missed each time
     for index in range(30, 38):
@@ -608,7 +608,7 @@
 
 def test_additional_copies_leave_half_of_the_unloads_to_missing_models() -> None:
     # Given full workers on which each unload has to wait for running requests, so that memory is scarce
-    simulation = PlacementSimulation(catalogue(models=100, load_rate_s=17.0), workers=20)
+    simulation = PlacementSimulation(catalogue(models=100, load_rate_per_s=17.0), workers=20)
     for index, worker in enumerate(simulation.workers.values()):
         simulation.set_holdings(worker.instance, *(f"m{3 * index + offset}" for offset in range(3)))
     simulation.run(4.0)
