--- a/arrowfold/controlplane/node.py
+++ b/arrowfold/controlplane/node.py
@@ -249,10 +249,10 @@
         if self._replica is not None:
             self._replica.set_addresses(settings.seed_internal_addresses())
 
-    async def stop(self, told_ago_s: float = 0.0) -> None:
+    async def stop(self, elapsed_grace_s: float = 0.0) -> None:
         """Hands over the leadership, answers the calls in progress and stops.
 
-        `told_ago_s` has no effect here.
+        `elapsed_grace_s` has no effect here.
         """
         if self._replica is not None:
             await self._replica.stop()
--- a/arrowfold/dataplane/forwarding.py
+++ b/arrowfold/dataplane/forwarding.py
@@ -233,7 +233,7 @@
     async def _choose_worker(self, progress: RequestProgress) -> ChosenWorker | RefusedRequest | OwnAnswer:
         """Returns a worker for an immediate attempt, or why there is none. Checks the key again each time."""
         while True:
-            key_check = self._key_checks.look_again(progress)
+            key_check = self._key_checks.recheck(progress)
             if key_check.is_err():
                 return key_check.unwrap_err()
             now_s = self._clock()
@@ -255,7 +255,7 @@
         progress.tried_instances.add(choice.instance)
         if self._clock() >= progress.deadline_s:
             raise TimeoutError
-        if not self._snapshot().may_send(choice.instance):
+        if not self._snapshot().can_send_to(choice.instance):
             return False
         self._selector.sent(progress.profile, choice.instance, self._clock())
         progress.trace.sent(choice.instance, choice.predicted_s, self._clock())
@@ -270,7 +270,7 @@
             raise
         finally:
             self._selector.ended(progress.profile, choice.instance, outcome, self._clock())
-            progress.trace.send_ended(outcome.value, self._clock())
+            progress.trace.attempt_ended(outcome.value, self._clock())
         if outcome is Outcome.LOST:
             progress.lost_at_s = self._clock()
         if outcome in EARLY_REPORT_OUTCOMES:
--- a/arrowfold/dataplane/freshness.py
+++ b/arrowfold/dataplane/freshness.py
@@ -27,7 +27,7 @@
         self._clock = clock
         self._fresh_until = math.inf if revoke_s is None else -math.inf
 
-    def asked(self) -> float:
+    def read_clock(self) -> float:
         """Returns the time of a pull request; call it right before the request is sent."""
         return self._clock()
 
--- a/arrowfold/dataplane/key_checks.py
+++ b/arrowfold/dataplane/key_checks.py
@@ -33,7 +33,7 @@
         """Returns whether a request that has just arrived may proceed."""
         return admit(credentials, configuration.routes.tenants, route, self._keys_are_fresh)
 
-    def look_again(self, progress: RequestProgress) -> Result[None, OwnAnswer]:
+    def recheck(self, progress: RequestProgress) -> Result[None, OwnAnswer]:
         """Returns whether an attempt may begin now, and assigns the key's current owner to the request."""
         configuration = self._snapshot().configuration
         if configuration is None:
--- a/arrowfold/dataplane/node.py
+++ b/arrowfold/dataplane/node.py
@@ -32,7 +32,7 @@
 from arrowfold.selection.interface import EngineFacts, WorkerSelector
 
 MISSING_MODEL_REPORT_DELAY_S = 0.005  # collects requests whose model is missing into one report
-ROUND_S = 0.5  # between market rounds, which also check connections and demand reports
+MAINTENANCE_INTERVAL_S = 0.5  # between market rounds, which also check connections and demand reports
 MAX_REPORTS_PER_S = 100.0  # of demand, over all edges: in a large fleet each edge reports less often
 MAX_REPORT_INTERVAL_S = 2.0
 READINESS_PROPAGATION_S = 2.3  # from the end of readiness until the platform sends no new connections
@@ -101,7 +101,7 @@
             process_end=process_end,
             traces=traces,
             options=self._options,
-            on_begun=self._usage.begun,
+            on_begun=self._usage.count_request,
             always_hides_keys=TENANTS_CONTRACT in settings.contracts,
             keys_are_fresh=freshness.is_fresh,
         )
@@ -160,17 +160,17 @@
         """Applies the seeds of a changed settings file."""
         self._puller.set_seeds(settings.seed_internal_addresses())
 
-    async def stop(self, told_ago_s: float = 0.0) -> None:
+    async def stop(self, elapsed_grace_s: float = 0.0) -> None:
         """Shuts down without losing a request: first not ready, then no new connections, then the end.
 
-        `told_ago_s` is the part of the grace time, in seconds, that has passed since the stop signal.
+        `elapsed_grace_s` is the part of the grace time, in seconds, that has passed since the stop signal.
         """
         if self._stopping:
             return
         self._stopping = True
         self._front.begin_draining()
         await asyncio.sleep(READINESS_PROPAGATION_S)
-        grace_s = self._settings.bounds.graceS - told_ago_s - READINESS_PROPAGATION_S - SHUTDOWN_MARGIN_S
+        grace_s = self._settings.bounds.graceS - elapsed_grace_s - READINESS_PROPAGATION_S - SHUTDOWN_MARGIN_S
         await self._front.stop(max(0.0, grace_s))
         if self._has_usage_duty():
             await self._usage_reporter.report(LAST_REPORT_TIMEOUT_S)
@@ -218,7 +218,7 @@
         services = snapshot.configuration.routes.services if snapshot.configuration is not None else {}
         shares = {}
         for instance, record in snapshot.workers.items():
-            if not snapshot.may_send(instance):
+            if not snapshot.can_send_to(instance):
                 continue
             service = services.get(record.service)
             max_connections = service.max_connections if service is not None else None
@@ -232,7 +232,7 @@
 
     async def _run_rounds(self) -> None:
         while True:
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             self._selector.market_round(self._clock())
             self._connections.close_expired()
             self._front.close_overdue()
--- a/arrowfold/dataplane/puller.py
+++ b/arrowfold/dataplane/puller.py
@@ -135,11 +135,11 @@
         return 0.0 if source.polls_without_hold else POLL_S
 
     async def _pull(self, source: _Source, wait_s: float) -> None:
-        asked_s = self._freshness.asked()
+        asked_s = self._freshness.read_clock()
         response = await self._call(source, wait_s, notice_only=False)
         if response is None:
             return
-        if self._tables.take(response):
+        if self._tables.apply(response):
             self._on_change()
             self._update_sources()
         self._extend_freshness(asked_s, response)
@@ -147,7 +147,7 @@
             await asyncio.sleep(RETRY_BACKOFF_S)
 
     async def _await_notice(self, source: _Source) -> None:
-        asked_s = self._freshness.asked()
+        asked_s = self._freshness.read_clock()
         response = await self._call(source, self._max_hold_s(source), notice_only=True)
         if response is None:
             return
--- a/arrowfold/dataplane/request_trace.py
+++ b/arrowfold/dataplane/request_trace.py
@@ -63,7 +63,7 @@
         if self.sends and self.sends[-1].first_event_s is None:
             self.sends[-1].first_event_s = now_s - self.arrived_s
 
-    def send_ended(self, outcome: str, now_s: float) -> None:
+    def attempt_ended(self, outcome: str, now_s: float) -> None:
         """Records the end of the last attempt."""
         if self.sends:
             self.sends[-1].ended_s = now_s - self.arrived_s
--- a/arrowfold/dataplane/tables.py
+++ b/arrowfold/dataplane/tables.py
@@ -62,7 +62,7 @@
     view: ClusterView | None = None
     placements: dict[str, PlacementTable] = field(default_factory=dict)  # by service
 
-    def may_send(self, instance: str) -> bool:
+    def can_send_to(self, instance: str) -> bool:
         """Returns whether new requests may be sent to this worker."""
         record = self.workers.get(instance)
         return record is not None and record.state in (AVAILABLE, UNRESPONSIVE)
@@ -77,7 +77,7 @@
         self.needs_full_configuration = False  # a delta could not be applied, and no full document followed
         self._departures: dict[str, DepartureUpdate] = {}
 
-    def take(self, response: PullResponse) -> bool:
+    def apply(self, response: PullResponse) -> bool:
         """Applies a pull response and returns whether the snapshot changed.
 
         A response of a node that is not current is ignored as long as no configuration is known.
--- a/arrowfold/dataplane/usage_counts.py
+++ b/arrowfold/dataplane/usage_counts.py
@@ -22,7 +22,7 @@
         self._counts: dict[int, dict[str, int]] = {}
         self._decided_through = -1
 
-    def begun(self, tenant: str) -> None:
+    def count_request(self, tenant: str) -> None:
         """Counts a request of this tenant that a worker has begun."""
         window = self._window()
         if window <= self._decided_through:
--- a/arrowfold/programs/startup.py
+++ b/arrowfold/programs/startup.py
@@ -30,10 +30,10 @@
     async def start(self) -> None:
         """Start serving."""
 
-    async def stop(self, told_ago_s: float = 0.0) -> None:
+    async def stop(self, elapsed_grace_s: float = 0.0) -> None:
         """Shut down gracefully within the grace period of the settings.
 
-        `told_ago_s` is the part of the grace period that has already passed, in seconds.
+        `elapsed_grace_s` is the part of the grace period that has already passed, in seconds.
         """
 
     def apply_settings(self, settings: NodeSettings) -> None:
--- a/benchmarks/capacity/system/documents.py
+++ b/benchmarks/capacity/system/documents.py
@@ -53,20 +53,20 @@
     view = cluster_view(target.CONTROL_MACHINES, target.NODES)
     whole = PullResponse(True, view, {"state": 1}, (ConfigurationUpdate(1, 1, text),))
     tables = FleetTables()
-    tables.take(whole)
+    tables.apply(whole)
     base = tables.snapshot
     news = ConfigurationDelta(2, 1, 2, step)
 
     def take_whole() -> None:
-        FleetTables().take(whole)
+        FleetTables().apply(whole)
 
     def take_delta() -> None:
         tables.snapshot = base
-        tables.take(PullResponse(True, view, {"state": 2}, (news,)))
+        tables.apply(PullResponse(True, view, {"state": 2}, (news,)))
 
     def in_force() -> FleetTables:
         fresh = FleetTables()
-        fresh.take(replace(whole, updates=(ConfigurationUpdate(1, 1, bytes(bytearray(text))),)))
+        fresh.apply(replace(whole, updates=(ConfigurationUpdate(1, 1, bytes(bytearray(text))),)))
         return fresh
 
     state = ControlState(configuration=text, configuration_version=1, sequence=1)
--- a/benchmarks/capacity/system/pulls.py
+++ b/benchmarks/capacity/system/pulls.py
@@ -195,7 +195,7 @@
     first = first_answer(records)
     encoded = encode(first)
     tables = FleetTables()
-    tables.take(first)
+    tables.apply(first)
     idle = PullResponse(True, first.view, first.vector)
     changed = _changed(records[0])
 
@@ -203,22 +203,22 @@
         nonlocal changed
         changed = replace(changed, call_sequence=changed.call_sequence + 1)
         update = WorkerUpdate(origin_name(0), changed.call_sequence, changed)
-        tables.take(PullResponse(True, first.view, first.vector, (update,)))
+        tables.apply(PullResponse(True, first.view, first.vector, (update,)))
 
     def take_first() -> FleetTables:
         empty = FleetTables()
-        empty.take(first)
+        empty.apply(first)
         return empty
 
     def decoded_tables() -> Callable[[], object]:
         fresh = FleetTables()
-        fresh.take(decode(encoded))
+        fresh.apply(decode(encoded))
         return lambda: fresh
 
     return {
         "first_bytes": float(len(encoded)),
         "first_ms": (processor_s(lambda: decode(encoded)) + processor_s(take_first)) / MILLISECOND,
-        "idle_us": processor_s(lambda: tables.take(idle)) / MICROSECOND,
+        "idle_us": processor_s(lambda: tables.apply(idle)) / MICROSECOND,
         "change_us": processor_s(take_change) / MICROSECOND,
         "megabytes": held_bytes(decoded_tables) / MEGABYTE,
     }
--- a/benchmarks/capacity/system/target.py
+++ b/benchmarks/capacity/system/target.py
@@ -33,7 +33,7 @@
 FEW_CONTROL = 1  # control nodes round which hollow fleets are held, since they share this machine
 ROUTES = 130  # one a model
 EDGE_PULL_S = 1.0  # `dataplane.puller.POLL_S`
-REPORT_INTERVAL_S = 0.5  # `dataplane.node.ROUND_S`
+REPORT_INTERVAL_S = 0.5  # `dataplane.node.MAINTENANCE_INTERVAL_S`
 
 WORKER_SIZES = (250, 1_000, 2_500, 5_000, 10_000)
 EDGE_SIZES = (30, 100, 200, 390)
--- a/tests/system/control_simulation/planted.py
+++ b/tests/system/control_simulation/planted.py
@@ -290,7 +290,7 @@
     original = StateFreshness.answered
 
     def answered(self: StateFreshness, _: float, state_age_s: float) -> None:
-        original(self, self.asked(), state_age_s)
+        original(self, self.read_clock(), state_age_s)
 
     return patch.object(StateFreshness, "answered", answered)
 
--- a/tests/system/edge_loopback.py
+++ b/tests/system/edge_loopback.py
@@ -204,7 +204,7 @@
             record = WorkerRecord(instance, service, raw.address, "z1", "v1", 8, "available", (), 1)
             updates.append(WorkerUpdate("origin", 1, record))
         tables = FleetTables()
-        tables.take(response(*updates))
+        tables.apply(response(*updates))
         selector = LeastLoadedSelector(random.Random(1))
         selector.apply_workers(tuple(tables.snapshot.workers.values()), loop.time())
         budget = RetryBudget(0.2, 50, 10, loop.time() - 100)
--- a/tests/system/edge_stories.py
+++ b/tests/system/edge_stories.py
@@ -290,7 +290,7 @@
 
     def tell(self, *updates: Any, **more: Any) -> None:
         """Apply updates from a control node."""
-        self.tables.take(response(*updates, **more))
+        self.tables.apply(response(*updates, **more))
         now_s = self.loop.time()
         self.selector.apply_workers(tuple(self.tables.snapshot.workers.values()), now_s)
         view = self.tables.snapshot.view
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -213,9 +213,9 @@
 def test_an_answer_without_news_changes_no_table() -> None:
     first = pulls.first_answer(worker_records(FEW, 1))
     tables = pulls.FleetTables()
-    tables.take(first)
+    tables.apply(first)
     snapshot = tables.snapshot
-    assert not tables.take(PullResponse(True, first.view, first.vector))
+    assert not tables.apply(PullResponse(True, first.view, first.vector))
     assert tables.snapshot is snapshot
 
 
--- a/tests/system/test_configuration_secrets.py
+++ b/tests/system/test_configuration_secrets.py
@@ -138,7 +138,7 @@
     assert proposal.entry is not None
     state = apply_entry(_committed(configuration(7, tenants=[tenant("acme", OLD_KEY)])), proposal.entry)
     tables = FleetTables()
-    tables.take(PullResponse(True, None, {}, configuration_updates(state, 0)))
+    tables.apply(PullResponse(True, None, {}, configuration_updates(state, 0)))
     held = tables.snapshot.configuration
     assert held is not None and held.document[member] == unknown
     assert KEY not in repr(held.document)
--- a/tests/system/test_control_found_anew.py
+++ b/tests/system/test_control_found_anew.py
@@ -100,12 +100,12 @@
     tables = FleetTables()
     later = ConfigurationStep(8, b"later", document(8, "eight"))
     ahead = apply_entry(_image().state, later)
-    tables.take(PullResponse(True, None, {STATE_ORIGIN: ahead.sequence}, state_updates(ahead, 0)))
+    tables.apply(PullResponse(True, None, {STATE_ORIGIN: ahead.sequence}, state_updates(ahead, 0)))
     assert tables.snapshot.configuration is not None and tables.snapshot.configuration.version == 8
     # When it pulls from the new group
     state = _bootstrapped().state
     known = tables.vector[STATE_ORIGIN]
-    tables.take(PullResponse(True, None, {STATE_ORIGIN: state.sequence}, state_updates(state, known)))
+    tables.apply(PullResponse(True, None, {STATE_ORIGIN: state.sequence}, state_updates(state, known)))
     # Then it has the version in force there
     assert tables.snapshot.configuration.version == 7
 
--- a/tests/system/test_edge_freshness.py
+++ b/tests/system/test_edge_freshness.py
@@ -193,15 +193,15 @@
     now_s = 100.0
     freshness = StateFreshness(REVOKE_S, lambda: now_s)
     assert not freshness.is_fresh()
-    freshness.answered(freshness.asked(), 0.4)
+    freshness.answered(freshness.read_clock(), 0.4)
     assert freshness.is_fresh()
     now_s += REVOKE_S * 0.9 - 0.41
     assert freshness.is_fresh()
     now_s += 0.02
     assert not freshness.is_fresh()
     # And a later response with an older state does not shorten the lease
-    freshness.answered(freshness.asked(), 0.0)
-    freshness.answered(freshness.asked(), 4.0)
+    freshness.answered(freshness.read_clock(), 0.0)
+    freshness.answered(freshness.read_clock(), 4.0)
     now_s += 4.0
     assert freshness.is_fresh()
 
--- a/tests/system/test_edge_tables.py
+++ b/tests/system/test_edge_tables.py
@@ -46,13 +46,13 @@
     @rule(sequence=st.integers(1, 30), current=st.booleans())
     def receive_configuration(self, sequence: int, current: bool) -> None:
         update = configuration_update(configuration(ROUTES, version=sequence), sequence)
-        self.tables.take(response(update, current=current, state=sequence))
+        self.tables.apply(response(update, current=current, state=sequence))
         if current or self.newest:
             self.newest = max(self.newest, sequence)
 
     @rule(instance=st.sampled_from(INSTANCES), state=st.sampled_from(STATES), call=st.integers(1, 9))
     def receive_worker(self, instance: str, state: str, call: int) -> None:
-        self.tables.take(response(WorkerUpdate("o", 1, worker(instance, "cards", state, call))))
+        self.tables.apply(response(WorkerUpdate("o", 1, worker(instance, "cards", state, call))))
         if call >= self.calls.get(instance, 0):
             self.calls[instance] = call
             if state in ("draining", "gone"):
@@ -62,7 +62,7 @@
 
     @rule(instance=st.sampled_from(INSTANCES), state=st.sampled_from(("draining", "gone")))
     def receive_departure(self, instance: str, state: str) -> None:
-        self.tables.take(response(DepartureUpdate(1, instance, state)))
+        self.tables.apply(response(DepartureUpdate(1, instance, state)))
         self.departed.add(instance)
         if state == "gone":
             self.gone.add(instance)
@@ -74,7 +74,7 @@
 
     @invariant()
     def departed_workers_receive_no_requests(self) -> None:
-        assert not any(self.tables.snapshot.may_send(instance) for instance in self.departed)
+        assert not any(self.tables.snapshot.can_send_to(instance) for instance in self.departed)
         assert not self.gone & set(self.tables.snapshot.workers)
 
 
@@ -84,7 +84,7 @@
 
 def tables_at_version_3() -> FleetTables:
     tables = FleetTables()
-    tables.take(response(configuration_update(configuration(ROUTES, version=3), 3), state=3))
+    tables.apply(response(configuration_update(configuration(ROUTES, version=3), 3), state=3))
     return tables
 
 
@@ -92,7 +92,7 @@
     tables = tables_at_version_3()
     new_route = route("new", "/new/", "cards", "idempotent")
     patch = b'{"version":5,"upsert":{"routes":[%s]},"remove":{"routes":["pay"]}}' % _json(new_route)
-    tables.take(response(ConfigurationDelta(4, 3, 5, patch), state=4))
+    tables.apply(response(ConfigurationDelta(4, 3, 5, patch), state=4))
     known = tables.snapshot.configuration
     assert known is not None and (known.sequence, known.version) == (4, 5)
     assert known.routes.match("shop.example", "/new/1") is not None
@@ -102,12 +102,12 @@
 def test_a_delta_on_another_version_requests_the_full_document() -> None:
     tables = tables_at_version_3()
     assert tables.vector[STATE_ORIGIN] == 3
-    tables.take(response(ConfigurationDelta(6, 5, 7, b'{"version":7}'), state=6))
+    tables.apply(response(ConfigurationDelta(6, 5, 7, b'{"version":7}'), state=6))
     known = tables.snapshot.configuration
     assert known is not None and known.version == 3
     assert STATE_ORIGIN not in tables.vector
     whole = ConfigurationUpdate(6, 7, _json(configuration(ROUTES, version=7)))
-    tables.take(response(whole, state=6))
+    tables.apply(response(whole, state=6))
     assert tables.snapshot.configuration is not None and tables.snapshot.configuration.version == 7
 
 
@@ -134,9 +134,9 @@
 def test_given_a_control_node_that_sends_keys_then_the_edge_stores_none() -> None:
     tables = FleetTables()
     document = configuration(ROUTES, version=3) | {"tenants": [tenant("acme", "marked-1"), tenant("b")]}
-    tables.take(response(configuration_update(document, 3), state=3))
+    tables.apply(response(configuration_update(document, 3), state=3))
     patch = _json({"version": 5, "upsert": {"tenants": [tenant("b", "marked-2")]}})
-    tables.take(response(ConfigurationDelta(4, 3, 5, patch), state=4))
+    tables.apply(response(ConfigurationDelta(4, 3, 5, patch), state=4))
     known = tables.snapshot.configuration
     assert known is not None and known.version == 5
     assert "marked" not in repr(known.document)
@@ -150,9 +150,9 @@
 def test_given_a_key_removed_by_a_delta_then_the_edge_no_longer_finds_it() -> None:
     tables = FleetTables()
     document = configuration(ROUTES, version=3) | {"tenants": [tenant("acme", "k1", "k2")]}
-    tables.take(response(configuration_update(document, 3), state=3))
+    tables.apply(response(configuration_update(document, 3), state=3))
     patch = _json({"version": 5, "upsert": {"tenants": [tenant("acme", "k2")]}})
-    tables.take(response(ConfigurationDelta(4, 3, 5, patch), state=4))
+    tables.apply(response(ConfigurationDelta(4, 3, 5, patch), state=4))
     known = tables.snapshot.configuration
     assert known is not None
     assert known.routes.tenants.find(key_digest(b"k1")) is None
--- a/tests/system/test_explain.py
+++ b/tests/system/test_explain.py
@@ -126,7 +126,7 @@
     trace.missed(stage.now_s + 0.1, load_is_known=True)
     trace.sent("w1", 0.2, stage.now_s + 0.7)
     trace.first_event(stage.now_s + 0.9)
-    trace.send_ended("succeeded", stage.now_s + 1.4)
+    trace.attempt_ended("succeeded", stage.now_s + 1.4)
     trace.status = 200
     assert trace.is_in_time(profile)
     trace.sends[0].first_event_s = 1.2
--- a/tests/system/test_placement_executor.py
+++ b/tests/system/test_placement_executor.py
@@ -271,7 +271,7 @@
 def _tables_of(notices: PlacementNotices, tables: FleetTables | None = None) -> FleetTables:
     """Returns the tables of an edge after a pull."""
     tables = tables or FleetTables()
-    tables.take(PullResponse(True, None, notices.vector(), notices.missing(tables.vector)))
+    tables.apply(PullResponse(True, None, notices.vector(), notices.missing(tables.vector)))
     return tables
 
 
--- a/tests/system/test_review_findings.py
+++ b/tests/system/test_review_findings.py
@@ -91,7 +91,7 @@
 def test_given_a_clock_that_is_a_tenth_slow_then_keys_expire_in_time() -> None:
     true_s = 0.0
     freshness = StateFreshness(5.0, lambda: 0.9 * true_s)
-    freshness.answered(freshness.asked(), 0.0)
+    freshness.answered(freshness.read_clock(), 0.0)
     true_s = 5.001
     assert not freshness.is_fresh()
 
@@ -100,8 +100,8 @@
 # counts as fresh while it still uses the previous keys (CONFIG).
 def test_given_a_whole_configuration_that_cannot_be_read_then_its_state_is_not_held() -> None:
     tables = FleetTables()
-    tables.take(response(configuration_update(edge_configuration(ROUTES, version=3), 3), state=3))
-    tables.take(response(ConfigurationUpdate(4, 4, b'{"version":4,'), state=4))
+    tables.apply(response(configuration_update(edge_configuration(ROUTES, version=3), 3), state=3))
+    tables.apply(response(ConfigurationUpdate(4, 4, b'{"version":4,'), state=4))
     assert tables.snapshot.configuration is not None and tables.snapshot.configuration.version == 3
     assert not tables.holds_state({STATE_ORIGIN: 4})
 
@@ -109,10 +109,10 @@
 # Guards against an answer that was in flight when a change was missed marking that change as held (CONFIG).
 def test_given_a_missed_change_then_a_later_answer_without_it_does_not_make_its_state_held() -> None:
     tables = FleetTables()
-    tables.take(response(configuration_update(edge_configuration(ROUTES, version=3), 3), state=3))
-    tables.take(response(ConfigurationDelta(6, 5, 7, b'{"version":7}'), state=6))
+    tables.apply(response(configuration_update(edge_configuration(ROUTES, version=3), 3), state=3))
+    tables.apply(response(ConfigurationDelta(6, 5, 7, b'{"version":7}'), state=6))
     assert not tables.holds_state({STATE_ORIGIN: 6})
-    tables.take(response(state=7))  # the pull carried a vector with 6
+    tables.apply(response(state=7))  # the pull carried a vector with 6
     assert not tables.holds_state({STATE_ORIGIN: 7})
 
 
--- a/tests/system/test_startup.py
+++ b/tests/system/test_startup.py
@@ -36,14 +36,14 @@
     def __init__(self) -> None:
         self.zones: list[str] = []
         self.calls: list[str] = []
-        self.told_ago_s = 0.0
+        self.elapsed_grace_s = 0.0
 
     async def start(self) -> None:
         self.calls.append("start")
 
-    async def stop(self, told_ago_s: float = 0.0) -> None:
+    async def stop(self, elapsed_grace_s: float = 0.0) -> None:
         self.calls.append("stop")
-        self.told_ago_s = told_ago_s
+        self.elapsed_grace_s = elapsed_grace_s
 
     def apply_settings(self, settings: NodeSettings) -> None:
         self.zones.append(settings.zone)
@@ -142,7 +142,7 @@
 
     asyncio.run(scenario())
     assert node.calls == ["start", "stop"]
-    assert node.told_ago_s == 0.25
+    assert node.elapsed_grace_s == 0.25
 
 
 def test_given_a_sigterm_while_loading_with_open_sockets_then_a_node_starts_and_stops_in_order(
@@ -160,7 +160,7 @@
     asyncio.run(run_node(open_settings(str(file)).unwrap(), lambda log: node, signals))
     # Then its node is started, to answer pending requests, and has the time since the first signal
     assert node.calls == ["start", "stop"]
-    assert node.told_ago_s == 1.5
+    assert node.elapsed_grace_s == 1.5
 
 
 @pytest.mark.parametrize("program", ["edge", "control"])
--- a/tests/system/test_usage_edge.py
+++ b/tests/system/test_usage_edge.py
@@ -160,16 +160,16 @@
 def test_given_requests_then_each_counts_in_its_window_until_that_is_decided() -> None:
     now = [9.9]
     counts = _counts_at(now)
-    counts.begun("huka")
+    counts.count_request("huka")
     now[0] = 10.0
-    counts.begun("huka")
-    counts.begun("puhu")
+    counts.count_request("huka")
+    counts.count_request("puhu")
     assert counts.undecided() == (WindowCounts(1, {"huka": 1}), WindowCounts(2, {"huka": 1, "puhu": 1}))
     assert counts.ended_through() == 1
     counts.drop_decided(1)
     assert [entry.window for entry in counts.undecided()] == [2]
     counts.drop_decided(2)
-    counts.begun("huka")  # a clock that runs behind: the window is already decided
+    counts.count_request("huka")  # a clock that runs behind: the window is already decided
     assert counts.undecided() == ()
 
 
@@ -177,7 +177,7 @@
     now = [0.0]
     counts = _counts_at(now)
     for _ in range(MAX_UNDECIDED_WINDOWS + 3):
-        counts.begun("huka")
+        counts.count_request("huka")
         now[0] += WINDOW_S
     assert [entry.window for entry in counts.undecided()] == list(range(3, MAX_UNDECIDED_WINDOWS + 3))
 
@@ -221,7 +221,7 @@
 def test_given_a_holder_then_it_receives_a_report_each_second_and_soon_after_a_window_ends() -> None:
     async def scenario(holders: ScriptedHolders, counts: UsageCounts, views: list[ClusterView]) -> None:
         holders.decided_through["m1:1"] = -1
-        counts.begun("huka")
+        counts.count_request("huka")
         await asyncio.sleep(WINDOW_S + REPORT_INTERVAL_S)
         assert len(holders.reports) == WINDOW_S + REPORT_INTERVAL_S
         assert holders.reports[-1][2].ended_through == 0
@@ -233,7 +233,7 @@
 def test_given_a_decided_window_then_it_is_no_longer_reported() -> None:
     async def scenario(holders: ScriptedHolders, counts: UsageCounts, views: list[ClusterView]) -> None:
         holders.decided_through["m1:1"] = 0
-        counts.begun("huka")
+        counts.count_request("huka")
         await asyncio.sleep(3 * REPORT_INTERVAL_S)
         assert holders.reports[0][2].windows and not holders.reports[-1][2].windows
 
@@ -242,9 +242,9 @@
 
 def test_given_a_new_holder_then_it_receives_all_undecided_windows() -> None:
     async def scenario(holders: ScriptedHolders, counts: UsageCounts, views: list[ClusterView]) -> None:
-        counts.begun("huka")
+        counts.count_request("huka")
         await asyncio.sleep(2 * WINDOW_S)  # the first holder never answers
-        counts.begun("puhu")
+        counts.count_request("puhu")
         holders.decided_through["m2:1"] = -1
         views[0] = _view("m2")
         await asyncio.sleep(2 * REPORT_INTERVAL_S)
--- a/tests/system/usage_stage.py
+++ b/tests/system/usage_stage.py
@@ -117,7 +117,7 @@
     def serve(self, tenant: str, requests: int = 1) -> None:
         """Counts requests of a tenant that workers start through this edge."""
         for _ in range(requests):
-            self.counts.begun(tenant)
+            self.counts.count_request(tenant)
             self._world.count_actual(tenant)
 
 
