--- a/arrowfold/dataplane/attempts.py
+++ b/arrowfold/dataplane/attempts.py
@@ -60,7 +60,7 @@
             return False
         return self.route.repeatable or not self.may_have_run
 
-    def take_tenant(self, tenant: Tenant | None) -> None:
+    def set_tenant(self, tenant: Tenant | None) -> None:
         """Set the owner of the key, whose priority overrides that of the route."""
         if tenant == self.tenant:
             return
--- a/arrowfold/dataplane/chunked_ends.py
+++ b/arrowfold/dataplane/chunked_ends.py
@@ -22,6 +22,6 @@
         """Record received bytes."""
         self._tail = data[-_LENGTH:] if len(data) >= _LENGTH else (self._tail + data)[-_LENGTH:]
 
-    def is_plain(self) -> bool:
+    def has_no_trailers(self) -> bool:
         """Whether the last bytes end a chunked message without trailers."""
         return self._tail == _PLAIN_END
--- a/arrowfold/dataplane/credentials.py
+++ b/arrowfold/dataplane/credentials.py
@@ -15,16 +15,16 @@
 from arrowfold.configuration.routes import Route
 from arrowfold.configuration.tenants import Tenant, TenantTable, key_digest
 from arrowfold.dataplane.headers import AUTHORIZATION, RawHeaders
-from arrowfold.dataplane.own_answers import KEYS_RETRY_S, OwnAnswer, not_executed
+from arrowfold.dataplane.own_answers import KEYS_RETRY_S, EdgeAnswer, not_executed
 from arrowfold.node.result_codes import ResultCode
 
 TENANTS_CONTRACT = "tenants"  # in the settings: requests may carry keys, whatever configuration is in force
 _SCHEME = b"bearer"  # compared in lower case: schemes are case-insensitive (RFC 9110, section 11.1)
 _AUTHORIZATION_LENGTH = len(AUTHORIZATION)
-_KEY_MISSING = OwnAnswer(401, ResultCode.KEY_MISSING)
-_KEY_UNKNOWN = OwnAnswer(401, ResultCode.KEY_UNKNOWN)
-_KEY_MALFORMED = OwnAnswer(401, ResultCode.KEY_MALFORMED)
-_KEY_REPEATED = OwnAnswer(400, ResultCode.KEY_MALFORMED)
+_KEY_MISSING = EdgeAnswer(401, ResultCode.KEY_MISSING)
+_KEY_UNKNOWN = EdgeAnswer(401, ResultCode.KEY_UNKNOWN)
+_KEY_MALFORMED = EdgeAnswer(401, ResultCode.KEY_MALFORMED)
+_KEY_REPEATED = EdgeAnswer(400, ResultCode.KEY_MALFORMED)
 _KEY_NOT_VERIFIABLE = not_executed(ResultCode.KEY_NOT_VERIFIABLE, KEYS_RETRY_S)
 
 
@@ -46,7 +46,7 @@
 
 
 # Ok if the request may proceed, with the owner of its key; None if it has no key or none is needed.
-Admission = Result[Tenant | None, OwnAnswer]
+Admission = Result[Tenant | None, EdgeAnswer]
 NO_CREDENTIALS = Credentials(CredentialKind.NOTHING)
 _WITHOUT_TENANT: Admission = Ok(None)
 
--- a/arrowfold/dataplane/events.py
+++ b/arrowfold/dataplane/events.py
@@ -17,7 +17,7 @@
     """One complete event: its raw bytes, and the number of its `id` line or None."""
 
     data: bytes
-    identity: int | None
+    event_id: int | None
 
 
 class EventSplitter:
--- a/arrowfold/dataplane/exchange.py
+++ b/arrowfold/dataplane/exchange.py
@@ -91,7 +91,7 @@
     async def finish(self) -> None:
         """End the body and complete the answer."""
 
-    async def send_whole(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    async def send_complete(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """Send a complete answer."""
 
     def abort(self) -> None:
--- a/arrowfold/dataplane/forwarding.py
+++ b/arrowfold/dataplane/forwarding.py
@@ -30,9 +30,9 @@
 from arrowfold.dataplane.options import DataPlaneOptions
 from arrowfold.dataplane.own_answers import (
     CONFIGURATION_RETRY_S,
-    ELSEWHERE_RETRY_S,
+    OTHER_NODE_RETRY_S,
     OVERLOAD_RETRY_S,
-    OwnAnswer,
+    EdgeAnswer,
     not_executed,
     outcome_unknown,
 )
@@ -84,7 +84,7 @@
         options: DataPlaneOptions | None = None,
         keys_are_fresh: Callable[[], bool] = lambda: True,
         always_hides_keys: bool = False,
-        on_begun: Callable[[str], None] = lambda tenant: None,
+        on_execution_started: Callable[[str], None] = lambda tenant: None,
     ) -> None:
         """Create a forwarder.
 
@@ -92,10 +92,10 @@
         `traces` receives a record of each request that was not answered in time. `keys_are_fresh` returns
         whether the known tenants are recent enough to admit a key. With `always_hides_keys`, Authorization is
         not forwarded to workers even while the configuration has no tenants.
-        `on_begun` is called with the tenant's name, once for each request whose execution
+        `on_execution_started` is called with the tenant's name, once for each request whose execution
         a worker has started.
         """
-        self._on_begun = on_begun
+        self._on_execution_started = on_execution_started
         self._key_checks = KeyChecks(snapshot, keys_are_fresh, always_hides_keys)
         self._traces = traces
         self._options = options or DataPlaneOptions()
@@ -107,9 +107,9 @@
         self._rng = rng or random.Random()
         self._process_end = process_end or ProcessEnd()
         self._tables_changed = asyncio.Event()
-        self.on_missing: Callable[[], None] = lambda: None  # requests an early demand report
+        self.on_early_report_due: Callable[[], None] = lambda: None  # requests an early demand report
 
-    def workers_changed(self) -> None:
+    def notify_workers_changed(self) -> None:
         """Wake the requests that wait for a worker, after the tables have changed."""
         self._tables_changed.set()
         self._tables_changed = asyncio.Event()
@@ -127,7 +127,7 @@
             return
         route = configuration.routes.match(request.host, request.target)
         if route is None:
-            await _send_edge_answer(answer, OwnAnswer(404, ResultCode.ROUTE_UNKNOWN), attempt_id)
+            await _send_edge_answer(answer, EdgeAnswer(404, ResultCode.ROUTE_UNKNOWN), attempt_id)
             return
         credentials = read_credentials(request.headers)
         admission = self._key_checks.admit(configuration, route, credentials)
@@ -135,13 +135,13 @@
             await _send_edge_answer(answer, admission.unwrap_err(), attempt_id)
             return
         if not attempt_id:
-            await _send_edge_answer(answer, OwnAnswer(400, ResultCode.REQUEST_MALFORMED), None)
+            await _send_edge_answer(answer, EdgeAnswer(400, ResultCode.REQUEST_MALFORMED), None)
             return
         service = route.pick_service(self._rng.random())
         progress = create_progress(request, route, service, credentials, admission.unwrap())
         if not self._process_end.admits(progress.deadline_s):
             await _send_edge_answer(
-                answer, not_executed(ResultCode.SHUTTING_DOWN, ELSEWHERE_RETRY_S), attempt_id
+                answer, not_executed(ResultCode.SHUTTING_DOWN, OTHER_NODE_RETRY_S), attempt_id
             )
             return
         self._budget.count_request(progress.service, self._clock())
@@ -165,7 +165,7 @@
     async def _answer_at_deadline(self, progress: RequestProgress, answer: ClientAnswer) -> None:
         """Answer a request whose deadline has passed or whose process is about to end."""
         if self._process_end.is_before(progress.deadline_s):
-            refusal = not_executed(ResultCode.SHUTTING_DOWN, ELSEWHERE_RETRY_S)
+            refusal = not_executed(ResultCode.SHUTTING_DOWN, OTHER_NODE_RETRY_S)
         else:
             refusal = not_executed(ResultCode.DEADLINE_PASSED, None)
         await self._answer_without_worker(progress, answer, refusal)
@@ -191,7 +191,7 @@
         refusal = RefusedRequest(ResultCode.OVERLOADED, OVERLOAD_RETRY_S)
         for _ in range(MAX_WORKER_CHOICES):
             choice = await self._choose_worker(progress)
-            if isinstance(choice, OwnAnswer):
+            if isinstance(choice, EdgeAnswer):
                 await self._answer_without_worker(progress, answer, choice)
                 return
             if isinstance(choice, RefusedRequest):
@@ -230,7 +230,7 @@
                 await self._tables_changed.wait()
         return True
 
-    async def _choose_worker(self, progress: RequestProgress) -> ChosenWorker | RefusedRequest | OwnAnswer:
+    async def _choose_worker(self, progress: RequestProgress) -> ChosenWorker | RefusedRequest | EdgeAnswer:
         """Returns a worker for an immediate attempt, or why there is none. Checks the key again each time."""
         while True:
             key_check = self._key_checks.recheck(progress)
@@ -242,7 +242,7 @@
             )
             choice = self._selector.choose(profile, progress.tried_instances, now_s)
             if isinstance(choice, WaitForWorker) or _is_model_missing(choice):
-                self.on_missing()
+                self.on_early_report_due()
             if not isinstance(choice, WaitForWorker):
                 return choice
             progress.trace.missed(now_s, choice.load_is_known)
@@ -274,7 +274,7 @@
         if outcome is Outcome.LOST:
             progress.lost_at_s = self._clock()
         if outcome in EARLY_REPORT_OUTCOMES:
-            self.on_missing()
+            self.on_early_report_due()
         return outcome in (Outcome.SUCCEEDED, Outcome.FAILED)
 
     async def _send_to_worker(
@@ -347,7 +347,7 @@
         if not 200 <= status < 300:
             return await self._forward_failure(progress, worker_answer, body, answer)
         self._record_first_event(progress, choice)
-        await answer.send_whole(status, end_to_end(worker_answer.headers, REWRITTEN_IN_ANSWERS), body)
+        await answer.send_complete(status, end_to_end(worker_answer.headers, REWRITTEN_IN_ANSWERS), body)
         progress.trace.status = status
         return Outcome.SUCCEEDED
 
@@ -361,7 +361,7 @@
         """Count the request in its tenant's usage, once."""
         if progress.tenant is not None and not progress.is_counted_for_tenant:
             progress.is_counted_for_tenant = True
-            self._on_begun(progress.tenant.name)
+            self._on_execution_started(progress.tenant.name)
 
     def _record_misdirection(self, progress: RequestProgress, choice: ChosenWorker) -> None:
         """Refund an attempt at a worker without the model, up to a limit; its load may be about to end."""
@@ -378,12 +378,12 @@
             return Outcome.LOST  # not confirmed by X-Not-Executed: the request may have run
         if status >= 500 and progress.can_retry:
             return Outcome.LOST  # retried at another worker
-        await answer.send_whole(status, end_to_end(worker_answer.headers, REWRITTEN_IN_ANSWERS), body)
+        await answer.send_complete(status, end_to_end(worker_answer.headers, REWRITTEN_IN_ANSWERS), body)
         progress.trace.status = status
         return Outcome.FAILED
 
     async def _answer_without_worker(
-        self, progress: RequestProgress, answer: ClientAnswer, refusal: OwnAnswer
+        self, progress: RequestProgress, answer: ClientAnswer, refusal: EdgeAnswer
     ) -> None:
         """End a request that no worker answered.
 
@@ -408,8 +408,8 @@
         return ResultCode.DEADLINE_PASSED if is_past_deadline else ResultCode.WORKER_FAILED
 
 
-async def _send_edge_answer(answer: ClientAnswer, edge_answer: OwnAnswer, attempt_id: str | None) -> None:
-    await answer.send_whole(edge_answer.status, edge_answer.headers(attempt_id), edge_answer.body())
+async def _send_edge_answer(answer: ClientAnswer, edge_answer: EdgeAnswer, attempt_id: str | None) -> None:
+    await answer.send_complete(edge_answer.status, edge_answer.headers(attempt_id), edge_answer.body())
 
 
 def _is_model_missing(choice: ChosenWorker | RefusedRequest) -> bool:
--- a/arrowfold/dataplane/front.py
+++ b/arrowfold/dataplane/front.py
@@ -15,7 +15,7 @@
 from arrowfold.configuration.routes import Limits
 from arrowfold.dataplane.chunked_ends import ChunkedEnd
 from arrowfold.dataplane.exchange import ClientAnswer, ClientRequest
-from arrowfold.dataplane.own_answers import OwnAnswer
+from arrowfold.dataplane.own_answers import EdgeAnswer
 from arrowfold.dataplane.process_end import ProcessEnd
 from arrowfold.node.listeners import BACKLOG
 from arrowfold.node.result_codes import ResultCode
@@ -61,7 +61,7 @@
         assert self.response is not None
         await self.response.write_eof()
 
-    async def send_whole(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    async def send_complete(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """Sends a complete answer with a Content-Length."""
         response = self._response(status, headers)
         response.content_length = len(body)
@@ -220,11 +220,11 @@
         refusal = self._size_refusal(request)
         body = b"" if refusal else await self._read_body(request)
         if refusal is None and body is None:
-            refusal = OwnAnswer(413, ResultCode.BODY_TOO_LARGE)
+            refusal = EdgeAnswer(413, ResultCode.BODY_TOO_LARGE)
         if refusal is not None or body is None:
             assert refusal is not None
             answer = AiohttpAnswer(request, lambda: True)
-            await answer.send_whole(refusal.status, refusal.headers(None), refusal.body())
+            await answer.send_complete(refusal.status, refusal.headers(None), refusal.body())
         else:
             trailers = _may_have_trailers(request)
             answer = AiohttpAnswer(request, lambda: self._draining or trailers)
@@ -232,18 +232,18 @@
         assert answer.response is not None
         return answer.response
 
-    def _size_refusal(self, request: BaseRequest) -> OwnAnswer | None:
+    def _size_refusal(self, request: BaseRequest) -> EdgeAnswer | None:
         limits = self._limits()
         head = sum(len(name) + len(value) + 4 for name, value in request._message.raw_headers)
         if limits.max_header_bytes is not None and head > limits.max_header_bytes:
-            return OwnAnswer(431, ResultCode.HEADERS_TOO_LARGE)
+            return EdgeAnswer(431, ResultCode.HEADERS_TOO_LARGE)
         max_bytes = limits.max_body_bytes
         if (
             max_bytes is not None
             and request.content_length is not None
             and request.content_length > max_bytes
         ):
-            return OwnAnswer(413, ResultCode.BODY_TOO_LARGE)
+            return EdgeAnswer(413, ResultCode.BODY_TOO_LARGE)
         return None
 
     async def _read_body(self, request: BaseRequest) -> bytes | None:
@@ -269,7 +269,7 @@
     connection = request.protocol
     if not request._message.chunked or not isinstance(connection, ClientConnection):
         return False
-    return not connection.chunked_end.is_plain()
+    return not connection.chunked_end.has_no_trailers()
 
 
 def _client_request(request: BaseRequest, body: bytes, arrived_s: float) -> ClientRequest:
--- a/arrowfold/dataplane/key_checks.py
+++ b/arrowfold/dataplane/key_checks.py
@@ -9,7 +9,7 @@
 from arrowfold.configuration.routes import Route
 from arrowfold.dataplane.attempts import RequestProgress
 from arrowfold.dataplane.credentials import Admission, Credentials, admit
-from arrowfold.dataplane.own_answers import OwnAnswer
+from arrowfold.dataplane.own_answers import EdgeAnswer
 from arrowfold.dataplane.tables import ConfigurationSnapshot, FleetSnapshot
 
 
@@ -33,7 +33,7 @@
         """Returns whether a request that has just arrived may proceed."""
         return admit(credentials, configuration.routes.tenants, route, self._keys_are_fresh)
 
-    def recheck(self, progress: RequestProgress) -> Result[None, OwnAnswer]:
+    def recheck(self, progress: RequestProgress) -> Result[None, EdgeAnswer]:
         """Returns whether an attempt may begin now, and assigns the key's current owner to the request."""
         configuration = self._snapshot().configuration
         if configuration is None:
@@ -41,7 +41,7 @@
         admission = self.admit(configuration, progress.route, progress.credentials)
         if admission.is_err():
             return Err(admission.unwrap_err())
-        progress.take_tenant(admission.unwrap())
+        progress.set_tenant(admission.unwrap())
         if self._always_hides_keys or configuration.routes.tenants.required:
             progress.hides_key = True
         return Ok(None)
--- a/arrowfold/dataplane/node.py
+++ b/arrowfold/dataplane/node.py
@@ -23,7 +23,7 @@
 from arrowfold.dataplane.tables import UNRESPONSIVE, ConfigurationSnapshot, FleetSnapshot, FleetTables
 from arrowfold.dataplane.usage_counts import UsageCounts
 from arrowfold.dataplane.usage_reporter import LAST_REPORT_TIMEOUT_S, USAGE_DUTY, UsageReporter
-from arrowfold.dataplane.worker_connections import FEWEST_CONNECTIONS, WorkerConnections
+from arrowfold.dataplane.worker_connections import MIN_CONNECTIONS, WorkerConnections
 from arrowfold.internal.channel import ChannelClient
 from arrowfold.internal.messages import NodeIdentity, WorkerRecord
 from arrowfold.node.listeners import Listeners
@@ -101,7 +101,7 @@
             process_end=process_end,
             traces=traces,
             options=self._options,
-            on_begun=self._usage.count_request,
+            on_execution_started=self._usage.count_request,
             always_hides_keys=TENANTS_CONTRACT in settings.contracts,
             keys_are_fresh=freshness.is_fresh,
         )
@@ -135,7 +135,7 @@
         self._placement_overlay = PlacementOverlay()
         self._last_report_s = loop.time()
         self._early_report: asyncio.Task[None] | None = None
-        self._forwarder.on_missing = self._report_missing_model
+        self._forwarder.on_early_report_due = self._report_missing_model
 
     async def start(self) -> None:
         """Starts to serve, on the sockets that are already open or on new ones, and to pull."""
@@ -205,7 +205,7 @@
         if share_inputs != self._share_inputs or share_inputs.has_unresponsive():
             self._share_inputs = share_inputs
             self._share_connections(share_inputs.edges)
-        self._forwarder.workers_changed()
+        self._forwarder.notify_workers_changed()
 
     def _corrected_workers(self, snapshot: FleetSnapshot, now_s: float) -> tuple[WorkerRecord, ...]:
         """Returns the workers' records, with the corrections of the owners of placements."""
@@ -223,11 +223,11 @@
             service = services.get(record.service)
             max_connections = service.max_connections if service is not None else None
             shares[instance] = max(
-                FEWEST_CONNECTIONS, (max_connections or DEFAULT_CONNECTIONS_PER_WORKER) // edges
+                MIN_CONNECTIONS, (max_connections or DEFAULT_CONNECTIONS_PER_WORKER) // edges
             )
             if record.state == UNRESPONSIVE:
-                self._connections.drop_idle_of(instance)
-        self._connections.set_shares(shares)
+                self._connections.close_idle_connections(instance)
+        self._connections.set_connection_limits(shares)
         self._connections.keep_only(set(shares))
 
     async def _run_rounds(self) -> None:
--- a/arrowfold/dataplane/own_answers.py
+++ b/arrowfold/dataplane/own_answers.py
@@ -7,14 +7,14 @@
 from arrowfold.node.result_codes import ResultCode
 
 OVERLOAD_RETRY_S = 0.25  # where no better estimate is known
-ELSEWHERE_RETRY_S = 0.05  # another node can serve the request immediately
+OTHER_NODE_RETRY_S = 0.05  # another node can serve the request immediately
 KEYS_RETRY_S = 0.25  # another node may have tenants that are recent enough
 CONFIGURATION_RETRY_S = 1.2  # approximate time until a new process receives its configuration
 UNAUTHORIZED = 401  # requires WWW-Authenticate (RFC 9110, section 15.5.2)
 
 
 @dataclass(frozen=True, slots=True)
-class OwnAnswer:
+class EdgeAnswer:
     """A status with a result code. 503, 429, 421 and 408 guarantee that the request never runs."""
 
     status: int
@@ -37,11 +37,11 @@
         return b'{"code":%d,"name":"%s"}' % (self.code, self.code.name.encode())
 
 
-def not_executed(code: ResultCode, retry_after_s: float | None = OVERLOAD_RETRY_S) -> OwnAnswer:
+def not_executed(code: ResultCode, retry_after_s: float | None = OVERLOAD_RETRY_S) -> EdgeAnswer:
     """Returns a 503: the request did not run and will not run, and the client may retry it."""
-    return OwnAnswer(503, code, retry_after_s)
+    return EdgeAnswer(503, code, retry_after_s)
 
 
-def outcome_unknown(code: ResultCode = ResultCode.WORKER_FAILED) -> OwnAnswer:
+def outcome_unknown(code: ResultCode = ResultCode.WORKER_FAILED) -> EdgeAnswer:
     """Returns a 504 or 502: the request may have run, and its result is unknown."""
-    return OwnAnswer(504 if code is ResultCode.DEADLINE_PASSED else 502, code)
+    return EdgeAnswer(504 if code is ResultCode.DEADLINE_PASSED else 502, code)
--- a/arrowfold/dataplane/streams.py
+++ b/arrowfold/dataplane/streams.py
@@ -62,10 +62,10 @@
 
 
 def _record_event(progress: RequestProgress, event: StreamEvent) -> None:
-    if event.identity is not None:
-        if progress.last_event_id is not None and event.identity <= progress.last_event_id:
+    if event.event_id is not None:
+        if progress.last_event_id is not None and event.event_id <= progress.last_event_id:
             raise IncompleteBodyError("event ids of the stream do not increase")
-        progress.last_event_id = event.identity
+        progress.last_event_id = event.event_id
     progress.events_forwarded += 1
 
 
@@ -74,7 +74,7 @@
     if event.data.startswith(VERSIONS + b":"):
         return event
     line = VERSIONS + b": " + version.encode("latin-1", "replace") + b"\n"
-    return StreamEvent(line + event.data, event.identity)
+    return StreamEvent(line + event.data, event.event_id)
 
 
 async def _start_answer(worker_answer: WorkerAnswer, answer: ClientAnswer) -> None:
--- a/arrowfold/dataplane/worker_connections.py
+++ b/arrowfold/dataplane/worker_connections.py
@@ -28,7 +28,7 @@
 DEFAULT_KEEP_ALIVE_S = 4.0  # maximum idle time for reuse, if the worker sends no Keep-Alive header
 KEEP_ALIVE_MARGIN_S = 1.0  # closed this long before the worker closes it
 NON_RETRYABLE_MAX_IDLE_S = 2.0  # idle for longer, a connection is not used for requests without a retry
-FEWEST_CONNECTIONS = 2  # minimum per instance, regardless of this edge's share
+MIN_CONNECTIONS = 2  # minimum per instance, regardless of this edge's share
 MAX_FOREIGN_ANSWERS = 2  # answers to other requests that are skipped before the request counts as lost
 READ_ERRORS = (ClientError, http_exceptions.HttpProcessingError, OSError, EofStream)
 
@@ -160,7 +160,7 @@
         if connection is None:
             return
         connection.keep_alive_s = _keep_alive_s(self.headers)
-        has_trailers = self._chunked and not connection.protocol.chunked_end.is_plain()
+        has_trailers = self._chunked and not connection.protocol.chunked_end.has_no_trailers()
         is_complete = self._is_complete and self._has_known_length and not has_trailers
         self._release(self._pool, connection, self._reusable and is_complete)
 
@@ -184,7 +184,7 @@
         self._pools: dict[str, InstancePool] = {}
         self._limits: dict[str, int] = {}
 
-    def set_shares(self, limits: dict[str, int]) -> None:
+    def set_connection_limits(self, limits: dict[str, int]) -> None:
         """Set how many connections this edge may open to each instance."""
         self._limits = limits
 
@@ -241,7 +241,7 @@
         return None
 
     async def _connect(self, instance: str, pool: InstancePool) -> Result[WorkerConnection, SendFailure]:
-        if pool.open_count >= max(FEWEST_CONNECTIONS, self._limits.get(instance, FEWEST_CONNECTIONS)):
+        if pool.open_count >= max(MIN_CONNECTIONS, self._limits.get(instance, MIN_CONNECTIONS)):
             return Err(SendFailure.NO_CONNECTION_FREE)
         host, port = pool.address.rsplit(":", 1)
         pool.open_count += 1
@@ -280,7 +280,7 @@
         """The connections by instance."""
         return self._pools
 
-    def drop_idle_of(self, instance: str) -> None:
+    def close_idle_connections(self, instance: str) -> None:
         """Close the idle connections to an instance that may be gone, so that the next request reconnects."""
         pool = self._pools.get(instance)
         if pool is not None:
--- a/tests/system/edge_loopback.py
+++ b/tests/system/edge_loopback.py
@@ -210,7 +210,7 @@
         budget = RetryBudget(0.2, 50, 10, loop.time() - 100)
         budget.apply_edges(1, loop.time())
         self.connections = WorkerConnections()
-        self.connections.set_shares({instance: 4 for instance in workers})
+        self.connections.set_connection_limits({instance: 4 for instance in workers})
         process_end = ProcessEnd()
         forwarder = RequestForwarder(
             self.connections,
@@ -268,7 +268,7 @@
     return b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\n%s\r\n" % (exchange.attempt_id, CHUNKED)
 
 
-def play(scenario: Callable[[], Awaitable[None]]) -> None:
+def run_on_loopback(scenario: Callable[[], Awaitable[None]]) -> None:
     """Run a scenario on uvloop, the event loop of the program, with a timeout."""
 
     async def bounded() -> None:
--- a/tests/system/edge_stories.py
+++ b/tests/system/edge_stories.py
@@ -100,19 +100,19 @@
     """A scripted answer of a worker.
 
     `chunks` are pairs of the pause before a chunk, in seconds, and its bytes.
-    With `breaks` the body is interrupted after the last chunk.
+    With `is_interrupted` the body is interrupted after the last chunk.
     """
 
     status: int = 200
     headers: RawHeaders = ((b"X-Server-Seal", b"seal"),)
     chunks: tuple[tuple[float, bytes], ...] = ()
-    breaks: bool = False
+    is_interrupted: bool = False
     closed: bool = False
     _next: int = 0
 
     async def read_chunk(self) -> bytes:
         if self._next >= len(self.chunks):
-            if self.breaks:
+            if self.is_interrupted:
                 raise IncompleteBodyError("scripted")
             return b""
         pause_s, data = self.chunks[self._next]
@@ -160,19 +160,19 @@
 
 
 def events(
-    first: int, last: int, pause_s: float = 0.02, breaks: bool = False, seal: bytes = b"seal"
+    first: int, last: int, pause_s: float = 0.02, is_interrupted: bool = False, seal: bytes = b"seal"
 ) -> ScriptedAnswer:
     """Returns a stream with the events from `first` to `last`."""
     chunks = tuple((pause_s, event(number)) for number in range(first, last + 1))
-    return stream(chunks, breaks, seal)
+    return stream(chunks, is_interrupted, seal)
 
 
 def stream(
-    chunks: tuple[tuple[float, bytes], ...], breaks: bool = False, seal: bytes = b"seal"
+    chunks: tuple[tuple[float, bytes], ...], is_interrupted: bool = False, seal: bytes = b"seal"
 ) -> ScriptedAnswer:
     """Returns a stream with these chunks."""
     headers = ((b"X-Server-Seal", seal), (b"Content-Type", b"text/event-stream"))
-    return ScriptedAnswer(200, headers, chunks, breaks)
+    return ScriptedAnswer(200, headers, chunks, is_interrupted)
 
 
 @dataclass(slots=True)
@@ -229,7 +229,7 @@
         self.complete = True
         self.ended_s = asyncio.get_running_loop().time()
 
-    async def send_whole(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    async def send_complete(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         await self.start(status, headers)
         self.body = body
         await self.finish()
@@ -251,7 +251,7 @@
         return self.header("X-Server-Seal") is not None
 
 
-class EdgeStory:
+class EdgeHarness:
     """A forwarder with a configuration and scripted workers."""
 
     def __init__(
@@ -296,7 +296,7 @@
         view = self.tables.snapshot.view
         if view is not None:
             self.budget.apply_edges(view.edges, now_s)
-        self.forwarder.workers_changed()
+        self.forwarder.notify_workers_changed()
 
     def depart(self, instance: str, state: str = "draining") -> None:
         """Apply an update which states that a worker is leaving."""
--- a/tests/system/test_connection_machine.py
+++ b/tests/system/test_connection_machine.py
@@ -14,7 +14,7 @@
 from arrowfold.internal.channel import ChannelClient, _frame, _read_frame
 from arrowfold.internal.messages import SubmitChange, SubmitResult
 from arrowfold.standins.servers import free_port
-from tests.system.edge_stories import ROUTES, EdgeStory, RecordedAnswer, worker
+from tests.system.edge_stories import ROUTES, EdgeHarness, RecordedAnswer, worker
 from tests.system.misbehaving_workers import BEHAVIOURS, MemoryLoop, MisbehavingWorker, WorkerScript
 from tests.system.virtual_time import VirtualTimeLoop
 
@@ -37,10 +37,10 @@
 
     async def _set_up(self) -> None:
         records = tuple(worker(name, "cards") for name in ("w1", "w2", "w3"))
-        self.edge = EdgeStory(ROUTES, records)
+        self.edge = EdgeHarness(ROUTES, records)
         self.connections = WorkerConnections()
         self.connections._loop = MemoryLoop(asyncio.get_running_loop(), self.script)  # type: ignore[assignment]
-        self.connections.set_shares({record.instance: 4 for record in records})
+        self.connections.set_connection_limits({record.instance: 4 for record in records})
         self.edge.forwarder._transport = self.connections
 
     @rule(scripted=behaviours, number=st.integers(1, 4), kind=st.sampled_from(list(PATHS)), body=bodies)
@@ -98,9 +98,9 @@
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: MisbehavingWorker(script), "127.0.0.1", port)
         record = worker("w1", "cards")
-        edge = EdgeStory(ROUTES, (record,))
+        edge = EdgeHarness(ROUTES, (record,))
         connections = WorkerConnections()
-        connections.set_shares({"w1": 4})
+        connections.set_connection_limits({"w1": 4})
         edge.forwarder._transport = _FixedAddressTransport(connections, f"127.0.0.1:{port}")  # type: ignore[assignment]
         for scripted in rounds:
             script.behaviours = list(scripted)
--- a/tests/system/test_edge_ending.py
+++ b/tests/system/test_edge_ending.py
@@ -15,11 +15,11 @@
     event,
     field_of,
     plain,
-    play,
     request_bytes,
+    run_on_loopback,
     stream_head,
 )
-from tests.system.edge_stories import ROUTES, EdgeStory, answers, events, whole, worker
+from tests.system.edge_stories import ROUTES, EdgeHarness, answers, events, whole, worker
 from tests.system.virtual_time import run_virtual
 
 GAPS_S = (0.0, 0.003, 0.02, 0.05, 0.09)  # from the end of an answer to the next request on its connection
@@ -76,7 +76,7 @@
     async def scenario() -> None:
         await asyncio.gather(*(next_request(gap_s) for gap_s in GAPS_S))
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_given_a_body_that_ends_while_the_process_ends_then_the_request_is_not_forwarded() -> None:
@@ -97,7 +97,7 @@
         await stopping
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 async def _answer_of(client: RawClient) -> RawAnswer | None:
@@ -123,7 +123,7 @@
         await stopping
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_given_a_deadline_before_the_end_of_the_process_then_a_late_request_is_served_and_closes() -> None:
@@ -145,7 +145,7 @@
         await stopping
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_given_an_answer_that_starts_after_draining_began_then_its_connection_is_closed() -> None:
@@ -166,13 +166,13 @@
         assert field_of((await client.read()).head, b"connection") == b"close"
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_given_a_request_that_waits_for_its_model_when_the_process_ends_then_it_is_refused() -> None:
     async def scenario() -> None:
         # Given a request that waits for a model that no worker has loaded
-        edge = EdgeStory(ROUTES, ())
+        edge = EdgeHarness(ROUTES, ())
         waiting = asyncio.create_task(edge.ask("/talk/1"))
         await asyncio.sleep(0.01)
         # When the process is to end before the wait
@@ -189,7 +189,7 @@
 def test_given_a_planned_end_then_after_the_grace_period_only_earlier_deadlines_are_admitted() -> None:
     async def scenario() -> None:
         # Given an edge whose process ends in four seconds
-        edge = EdgeStory(ROUTES, (worker("w1", "cards"),))
+        edge = EdgeHarness(ROUTES, (worker("w1", "cards"),))
         edge.workers.scripts["w1"] = answers(whole())
         edge.process_end.plan(edge.loop.time() + 4.0)
         # Then requests within the grace period are admitted whatever their deadline is
@@ -206,7 +206,7 @@
 def test_given_a_stream_in_progress_when_the_process_ends_then_it_is_aborted() -> None:
     async def scenario() -> None:
         # Given a stream that lasts beyond the end of the process
-        edge = EdgeStory(ROUTES, (worker("w1", "models"),))
+        edge = EdgeHarness(ROUTES, (worker("w1", "models"),))
         edge.workers.scripts["w1"] = answers(events(1, 50, pause_s=0.1))
         stream_task = asyncio.create_task(edge.ask("/draft/1"))
         await asyncio.sleep(0.5)
--- a/tests/system/test_edge_forwarding.py
+++ b/tests/system/test_edge_forwarding.py
@@ -11,7 +11,7 @@
 from tests.system.edge_stories import (
     HOST,
     ROUTES,
-    EdgeStory,
+    EdgeHarness,
     ScriptedAnswer,
     answers,
     configuration,
@@ -26,14 +26,14 @@
 from tests.system.virtual_time import run_virtual
 
 
-def card_edge(*names: str) -> EdgeStory:
+def card_edge(*names: str) -> EdgeHarness:
     """Returns an edge with these workers of the service `cards`."""
-    return EdgeStory(ROUTES, tuple(worker(name, "cards") for name in names))
+    return EdgeHarness(ROUTES, tuple(worker(name, "cards") for name in names))
 
 
-def model_edge(*names: str) -> EdgeStory:
+def model_edge(*names: str) -> EdgeHarness:
     """Returns an edge with these workers of the service `models`."""
-    return EdgeStory(ROUTES, tuple(worker(name, "models") for name in names))
+    return EdgeHarness(ROUTES, tuple(worker(name, "models") for name in names))
 
 
 ONE_ATTEMPT = route("talk", "/talk/", "models", "streaming", maxAttempts=1)
@@ -45,7 +45,7 @@
 
 def test_before_any_configuration_requests_are_refused_as_not_executed() -> None:
     async def scenario() -> None:
-        edge = EdgeStory()
+        edge = EdgeHarness()
         answer = await edge.ask("/pay/1")
         assert answer.status == 503
         assert answer.header("Retry-After") is not None
@@ -56,7 +56,7 @@
 
 def test_a_request_before_the_first_configuration_waits_for_it() -> None:
     async def scenario() -> None:
-        edge = EdgeStory()
+        edge = EdgeHarness()
         edge.workers.scripts["w1"] = answers(whole())
         task = asyncio.create_task(edge.ask("/pay/1"))
         await asyncio.sleep(0.5)
@@ -130,7 +130,9 @@
     run_virtual(scenario())
 
 
-@pytest.mark.parametrize("lost", [SendFailure.LOST, ScriptedAnswer(200, (), ((0, b"half"),), breaks=True)])
+@pytest.mark.parametrize(
+    "lost", [SendFailure.LOST, ScriptedAnswer(200, (), ((0, b"half"),), is_interrupted=True)]
+)
 def test_a_request_that_may_have_run_is_not_repeated_nor_reported_as_not_executed(
     lost: ScriptedAnswer | SendFailure,
 ) -> None:
@@ -233,7 +235,7 @@
         split = [{"targetService": "a", "weight": 90}, {"targetService": "b", "weight": 10}]
         shared = route("shared", "/s/", "a", "idempotent", trafficSplit=split)
         del shared["targetService"]
-        edge = EdgeStory([shared], (worker("wa", "a"), worker("wb", "b")))
+        edge = EdgeHarness([shared], (worker("wa", "a"), worker("wb", "b")))
         edge.workers.scripts = {"wa": answers(whole()), "wb": answers(whole())}
         for _ in range(300):
             await edge.ask("/s/1")
@@ -272,7 +274,7 @@
 
 def test_a_new_edge_ignores_a_control_node_that_is_not_current() -> None:
     async def scenario() -> None:
-        edge = EdgeStory()
+        edge = EdgeHarness()
         edge.tell(configuration_update(configuration(ROUTES)), current=False)
         assert (await edge.ask("/pay/1")).status == 503
 
@@ -294,7 +296,7 @@
 def test_given_a_load_that_ends_late_then_its_request_is_retried_and_served() -> None:
     async def scenario() -> None:
         # Given a worker that, unlike its record, has not loaded the model when the request arrives
-        edge = EdgeStory(
+        edge = EdgeHarness(
             [route("talk", "/talk/", "models", "streaming", maxAttempts=1)], (worker("w1", "models"),)
         )
         edge.workers.scripts["w1"] = answers(rejected(421), rejected(421), events(1, 2))
@@ -309,7 +311,7 @@
 
 def test_given_a_worker_that_never_has_the_model_then_the_request_is_refused() -> None:
     async def scenario() -> None:
-        edge = EdgeStory(
+        edge = EdgeHarness(
             [route("talk", "/talk/", "models", "streaming", maxAttempts=1)], (worker("w1", "models"),)
         )
         edge.workers.scripts["w1"] = answers(rejected(421))
--- a/tests/system/test_edge_front.py
+++ b/tests/system/test_edge_front.py
@@ -13,8 +13,8 @@
     edge_with,
     field_of,
     plain,
-    play,
     request_bytes,
+    run_on_loopback,
 )
 
 
@@ -33,7 +33,7 @@
         assert (await new_client.read()).status == 200
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_stopping_waits_for_requests_in_flight() -> None:
@@ -53,7 +53,7 @@
         await stopping
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_stopping_closes_idle_connections() -> None:
@@ -66,7 +66,7 @@
         await edge.front.stop(5.0)
         assert await client.reader.read() == b""
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_request_that_arrives_while_the_front_stops_is_answered() -> None:
@@ -84,7 +84,7 @@
         await stopping
         assert len(worker.heads) == 1
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def front_connection(edge: LoopbackEdge) -> ClientConnection:
@@ -112,7 +112,7 @@
             assert (await client.read()).status == 200
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 @pytest.mark.parametrize(("taken_s", "closed"), [(3.0, False), (4.0, True)])
@@ -135,7 +135,7 @@
             assert (await client.read()).status == 200
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_connection_with_an_active_request_is_never_overdue() -> None:
@@ -154,7 +154,7 @@
         assert (await client.read()).status == 200
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_body_that_arrives_after_its_head_is_not_the_head_of_a_next_request() -> None:
@@ -179,4 +179,4 @@
         assert (await client.read()).status == 200
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
--- a/tests/system/test_edge_http.py
+++ b/tests/system/test_edge_http.py
@@ -13,8 +13,8 @@
     edge_with,
     field_of,
     plain,
-    play,
     request_bytes,
+    run_on_loopback,
 )
 
 
@@ -34,7 +34,7 @@
         assert worker.bodies == [body]
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_request_received_byte_by_byte_is_served() -> None:
@@ -47,7 +47,7 @@
         assert worker.bodies == [b"xyz"]
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_chunked_request_arrives_complete() -> None:
@@ -61,7 +61,7 @@
         assert worker.bodies == [b"abcd"]
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_request_without_an_id_is_answered_by_the_edge() -> None:
@@ -73,7 +73,7 @@
         assert worker.heads == []
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
@@ -87,7 +87,7 @@
         assert len(worker.heads) == 5
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_connections_to_a_worker_are_reused() -> None:
@@ -100,7 +100,7 @@
         assert worker.connections == 1
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_connection_that_its_worker_soon_closes_is_not_reused() -> None:
@@ -116,7 +116,7 @@
         assert worker.connections == 3
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_late_second_answer_reaches_no_client() -> None:
@@ -136,7 +136,7 @@
         assert worker.connections == 2
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_an_answer_to_another_request_before_the_expected_one_is_skipped() -> None:
@@ -154,7 +154,7 @@
         assert worker.connections == 2
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 @pytest.mark.parametrize("invalid", [b"garbage\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Le", b""])
@@ -172,7 +172,7 @@
         assert field_of(answer.head, b"x-server-seal") is None
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_an_answer_without_a_length_is_not_accepted() -> None:
@@ -187,7 +187,7 @@
         assert (await client.read()).status == 502
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_truncated_body_becomes_a_failure_without_seal() -> None:
@@ -203,7 +203,7 @@
         assert answer.status == 502 and field_of(answer.head, b"x-server-seal") is None
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_limits_of_the_configuration_are_enforced() -> None:
@@ -221,7 +221,7 @@
         assert len(worker.heads) == 1
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_connection_that_its_worker_closes_is_not_reused() -> None:
@@ -237,7 +237,7 @@
         assert worker.connections == 2
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 # Guards against this: the parser reports the last trailer of an answer as the first header of the next one on
@@ -257,7 +257,7 @@
         assert worker.connections == 2
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_request_to_a_worker_that_accepts_no_connections_is_refused_as_not_executed() -> None:
@@ -271,4 +271,4 @@
         assert field_of(answer.head, b"retry-after") is not None
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
--- a/tests/system/test_edge_http_streams.py
+++ b/tests/system/test_edge_http_streams.py
@@ -16,8 +16,8 @@
     event,
     field_of,
     plain,
-    play,
     request_bytes,
+    run_on_loopback,
     stream_head,
 )
 
@@ -42,7 +42,7 @@
         assert not answer.complete
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_each_event_is_forwarded_before_the_next_arrives() -> None:
@@ -67,7 +67,7 @@
         assert await client.read_part() == b""
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_client_disconnect_closes_the_connection_to_the_worker() -> None:
@@ -88,7 +88,7 @@
         await worker.closed.wait()
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 @pytest.mark.parametrize(("path", "is_reset"), [("/talk/1", True), ("/draft/1", False)])
@@ -122,7 +122,7 @@
         client.close()
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_stalled_stream_is_not_reset_while_its_worker_accepts_connections() -> None:
@@ -145,7 +145,7 @@
         client.close()
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_a_stream_that_stalls_on_one_connection_is_resumed_on_another() -> None:
@@ -174,7 +174,7 @@
         assert await client.read_part() == b""
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 @pytest.mark.parametrize("overtaken", [True, False])
@@ -208,4 +208,4 @@
         client.close()
         await edge.stop()
 
-    play(scenario)
+    run_on_loopback(scenario)
--- a/tests/system/test_edge_streams.py
+++ b/tests/system/test_edge_streams.py
@@ -9,7 +9,7 @@
 from arrowfold.dataplane.exchange import SendFailure
 from tests.system.edge_stories import (
     ROUTES,
-    EdgeStory,
+    EdgeHarness,
     RecordedAnswer,
     ScriptedAnswer,
     answers,
@@ -22,9 +22,9 @@
 from tests.system.virtual_time import run_virtual
 
 
-def model_edge(*names: str) -> EdgeStory:
+def model_edge(*names: str) -> EdgeHarness:
     """Returns an edge with these workers of the service `models`."""
-    return EdgeStory(ROUTES, tuple(worker(name, "models") for name in names))
+    return EdgeHarness(ROUTES, tuple(worker(name, "models") for name in names))
 
 
 def header_values(request_headers: tuple[tuple[bytes, bytes], ...], name: bytes) -> list[bytes]:
@@ -47,7 +47,7 @@
 def test_an_interrupted_resumable_stream_is_resumed_at_another_worker() -> None:
     async def scenario() -> None:
         edge = model_edge("m1", "m2")
-        first = stream(((0.0, event(1)), (0.0, event(2) + b"id: 3\nda")), breaks=True, seal=b"first")
+        first = stream(((0.0, event(1)), (0.0, event(2) + b"id: 3\nda")), is_interrupted=True, seal=b"first")
         scripts = [answers(first), answers(events(3, 5, seal=b"second"))]
 
         async def in_turn(request: object) -> ScriptedAnswer | SendFailure:
@@ -79,7 +79,7 @@
 def test_an_interrupted_stream_that_is_not_resumable_is_aborted() -> None:
     async def scenario() -> None:
         edge = model_edge("m1", "m2")
-        edge.workers.scripts = {name: answers(events(1, 2, breaks=True)) for name in ("m1", "m2")}
+        edge.workers.scripts = {name: answers(events(1, 2, is_interrupted=True)) for name in ("m1", "m2")}
         answer = await edge.ask("/draft/1")
         assert answer.aborted and not answer.complete
         assert len(edge.workers.arrivals) == 1
@@ -90,7 +90,7 @@
 def test_a_stream_interrupted_before_its_first_event_runs_once_and_fails() -> None:
     async def scenario() -> None:
         edge = model_edge("m1", "m2")
-        cut = stream((), breaks=True)
+        cut = stream((), is_interrupted=True)
         edge.workers.scripts = {name: answers(cut) for name in ("m1", "m2")}
         answer = await edge.ask("/draft/1")
         assert answer.status == 502
@@ -129,7 +129,7 @@
 def test_an_interrupted_stream_waits_for_a_worker_to_resume_it() -> None:
     async def scenario() -> None:
         edge = model_edge("m1")
-        edge.workers.scripts["m1"] = answers(events(1, 2, breaks=True), events(3, 4))
+        edge.workers.scripts["m1"] = answers(events(1, 2, is_interrupted=True), events(3, 4))
         answer = await edge.ask("/talk/1")
         assert answer.complete
         assert answer.body == b"".join(event(number) for number in range(1, 5))
@@ -141,7 +141,7 @@
 def test_a_resumed_stream_marks_a_change_of_the_models_weights() -> None:
     async def scenario() -> None:
         edge = model_edge("m1")
-        old, new = events(1, 1, breaks=True), events(2, 3)
+        old, new = events(1, 1, is_interrupted=True), events(2, 3)
         old.headers += ((b"Versions", b"1"),)
         new.headers += ((b"Versions", b"2"),)
         edge.workers.scripts["m1"] = answers(old, new)
@@ -154,7 +154,7 @@
 def test_an_interrupted_stream_without_a_worker_to_resume_it_is_aborted() -> None:
     async def scenario() -> None:
         edge = model_edge("m1")
-        edge.workers.scripts["m1"] = answers(events(1, 2, pause_s=0.0, breaks=True))
+        edge.workers.scripts["m1"] = answers(events(1, 2, pause_s=0.0, is_interrupted=True))
         task = asyncio.create_task(edge.ask("/talk/1"))
         await asyncio.sleep(0.005)
         edge.depart("m1")
@@ -198,7 +198,7 @@
         edge = model_edge("m")
         reported_pauses: list[float] = []
         edge.selector.stream_forwarded = lambda request, instance, pause_s: reported_pauses.append(pause_s)
-        edge.workers.scripts["m"] = answers(stream(((0.1, event(1)), (0.9, event(2))), breaks=True))
+        edge.workers.scripts["m"] = answers(stream(((0.1, event(1)), (0.9, event(2))), is_interrupted=True))
         assert not (await edge.ask("/draft/1")).complete
         assert reported_pauses == []
 
--- a/tests/system/test_edge_tables.py
+++ b/tests/system/test_edge_tables.py
@@ -126,7 +126,7 @@
     for start, end in zip([0, *splits], [*splits, len(stream)], strict=True):
         events.extend(splitter.feed(stream[start:end]))
     assert [event.data for event in events] == raw
-    assert [event.identity for event in events] == list(range(len(raw)))
+    assert [event.event_id for event in events] == list(range(len(raw)))
     assert splitter.pending == b"id: 99\nda"
 
 
--- a/tests/system/test_edge_tenant_shares.py
+++ b/tests/system/test_edge_tenant_shares.py
@@ -19,7 +19,7 @@
 from arrowfold.internal.messages import WorkerUpdate
 from arrowfold.selection.market_selector import MarketSelector
 from tests.system.edge_stories import (
-    EdgeStory,
+    EdgeHarness,
     RecordedAnswer,
     ScriptedAnswer,
     configuration,
@@ -105,7 +105,7 @@
 async def run_traffic(seed: int, *traffic: Traffic) -> Shares:
     """Runs the tenants' traffic for DURATION_S and returns what each of them was served."""
     rng = random.Random(seed)
-    edge = EdgeStory(selector=MarketSelector("z1", seed))
+    edge = EdgeHarness(selector=MarketSelector("z1", seed))
     routes = [route("look", "/look/", "cards", "idempotent")]
     tenants = [{"name": t.tenant, "apiKeys": [f"key-{t.tenant}"], "priority": t.priority} for t in traffic]
     edge.tell(configuration_update({**configuration(routes), "tenants": tenants}))
--- a/tests/system/test_edge_tenants.py
+++ b/tests/system/test_edge_tenants.py
@@ -19,7 +19,7 @@
 from tests.system.edge_stories import (
     HOST,
     ROUTES,
-    EdgeStory,
+    EdgeHarness,
     RecordedAnswer,
     ScriptedAnswer,
     answers,
@@ -49,9 +49,9 @@
     return document if tenants is None else {**document, "tenants": tenants}
 
 
-def edge_with_tenants(*workers: str, service: str = "cards", **more: Any) -> EdgeStory:
+def edge_with_tenants(*workers: str, service: str = "cards", **more: Any) -> EdgeHarness:
     """Returns an edge whose configuration has two tenants, and these workers."""
-    edge = EdgeStory(**more)
+    edge = EdgeHarness(**more)
     edge.tell(configuration_update(with_tenants(TENANTS)))
     edge.tell(*(WorkerUpdate("origin", 1, worker(name, service)) for name in workers))
     return edge
@@ -114,7 +114,7 @@
 
     async def scenario() -> None:
         edge = edge_with_tenants("w1", "w2", service="models")
-        edge.workers.scripts["w1"] = answers(events(1, 2, breaks=True), events(3, 4))
+        edge.workers.scripts["w1"] = answers(events(1, 2, is_interrupted=True), events(3, 4))
         edge.workers.scripts["w2"] = edge.workers.scripts["w1"]
         answer = await edge.ask("/talk/1", AUTHORIZATION)
         assert answer.complete
@@ -169,7 +169,7 @@
     return code
 
 
-def remove_key(edge: EdgeStory, version: int = 2) -> None:
+def remove_key(edge: EdgeHarness, version: int = 2) -> None:
     """Sends the edge a configuration without the first tenant's key."""
     edge.tell(configuration_update(with_tenants(TENANTS[1:], version), version))
 
@@ -235,7 +235,7 @@
 
 def test_given_a_configuration_without_tenants_then_no_key_is_needed() -> None:
     async def scenario() -> None:
-        edge = EdgeStory()
+        edge = EdgeHarness()
         edge.tell(configuration_update(with_tenants(None)), WorkerUpdate("o", 1, worker("w1", "cards")))
         edge.workers.scripts["w1"] = answers(whole())
         assert (await edge.ask("/pay/1")).status == 200
@@ -249,7 +249,7 @@
     """Guards against UNASKED: a key was forwarded while the edge's configuration had no tenants yet."""
 
     async def scenario() -> None:
-        edge = EdgeStory(always_hides_keys=True)
+        edge = EdgeHarness(always_hides_keys=True)
         edge.tell(configuration_update(with_tenants(None)), WorkerUpdate("o", 1, worker("w1", "cards")))
         edge.workers.scripts["w1"] = answers(whole())
         assert (await edge.ask("/pay/1", AUTHORIZATION)).status == 200
@@ -263,7 +263,7 @@
 
     async def scenario() -> None:
         fresh = False
-        edge = EdgeStory(keys_are_fresh=lambda: fresh)
+        edge = EdgeHarness(keys_are_fresh=lambda: fresh)
         edge.tell(configuration_update(with_tenants(None)), WorkerUpdate("o", 1, worker("w1", "cards")))
         edge.workers.scripts["w1"] = answers(whole())
         answer = await edge.ask("/pay/1", AUTHORIZATION)
@@ -351,7 +351,7 @@
 
     async def scenario() -> None:
         edge = edge_with_tenants("w1", "w2", service="models")
-        script = answers(events(1, 10, pause_s=0.1, breaks=True), events(11, 12))
+        script = answers(events(1, 10, pause_s=0.1, is_interrupted=True), events(11, 12))
         edge.workers.scripts["w1"] = edge.workers.scripts["w2"] = script
         task = asyncio.create_task(edge.ask("/talk/1", AUTHORIZATION))
         await asyncio.sleep(0.3)
@@ -549,7 +549,7 @@
         for name in ("w1", "w2"):
             edge.workers.scripts[name] = answers(SendFailure.LOST)
         for name in ("m1", "m2"):
-            edge.workers.scripts[name] = answers(events(1, 2, breaks=True))
+            edge.workers.scripts[name] = answers(events(1, 2, is_interrupted=True))
         base = ((b"X-Attempt-Id", b"a1"), (b"X-Model", b"m1"))
         request = ClientRequest("POST", path, HOST, base + headers, b"", edge.loop.time())
         await edge.forwarder.forward(request, RecordedAnswer())
--- a/tests/system/test_edge_unknown_keys.py
+++ b/tests/system/test_edge_unknown_keys.py
@@ -10,7 +10,7 @@
 from tests.system.configurations import tenant
 from tests.system.edge_stories import (
     ROUTES,
-    EdgeStory,
+    EdgeHarness,
     RecordedAnswer,
     answers,
     configuration,
@@ -28,7 +28,7 @@
 
 async def _send_request(path: str, *headers: tuple[bytes, bytes]) -> tuple[RecordedAnswer, list[str]]:
     """Returns a request's answer and the workers that ran it; a tenant with KNOWN_KEY is configured."""
-    edge = EdgeStory(ROUTES, (worker("w1", "cards"),))
+    edge = EdgeHarness(ROUTES, (worker("w1", "cards"),))
     edge.workers.scripts["w1"] = answers(whole())
     with_tenants = configuration([*ROUTES, PUBLIC], 2) | {"tenants": [tenant("acme", KNOWN_KEY)]}
     edge.tell(configuration_update(with_tenants, 2), state=2)
--- a/tests/system/test_review_findings.py
+++ b/tests/system/test_review_findings.py
@@ -26,7 +26,7 @@
 from arrowfold.replication.roles import HeldRole
 from arrowfold.replication.state import ControlState
 from tests.system.configurations import configuration, tenant
-from tests.system.edge_loopback import RawClient, play
+from tests.system.edge_loopback import RawClient, run_on_loopback
 from tests.system.edge_stories import ROUTES, configuration_update, response
 from tests.system.edge_stories import configuration as edge_configuration
 from tests.system.placement_world import SERVICE
@@ -45,7 +45,7 @@
 
     async def forward(request: ClientRequest, answer: ClientAnswer) -> None:
         requests.append(request)
-        await answer.send_whole(200, [], b"done")
+        await answer.send_complete(200, [], b"done")
 
     front = EdgeFront(forward, Limits, ProcessEnd())
     client = await RawClient.connect(await front.start("127.0.0.1:0"))
@@ -67,7 +67,7 @@
         assert find(first.headers, b"x-attempt-id") == "first"
         assert not later, "a connection on which trailers came is read no further"
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 def test_given_a_chunked_request_without_trailers_then_its_connection_is_reused() -> None:
@@ -78,7 +78,7 @@
         assert find(second.headers, b"authorization") is None
         assert find(second.headers, b"x-attempt-id") == "second"
 
-    play(scenario)
+    run_on_loopback(scenario)
 
 
 # Guards against a tenant name that a worker reads as another header or another tenant (UNASKED).
@@ -173,4 +173,4 @@
         await worker.stop()
         assert len(worker.orders) == 1, [order["fenceToken"] for order in worker.orders]
 
-    play(scenario)
+    run_on_loopback(scenario)
--- a/tests/system/test_usage_edge.py
+++ b/tests/system/test_usage_edge.py
@@ -25,7 +25,7 @@
 )
 from tests.system.edge_stories import (
     ROUTES,
-    EdgeStory,
+    EdgeHarness,
     ScriptedAnswer,
     answers,
     configuration,
@@ -52,8 +52,8 @@
 
     def __init__(self, key: bytes = KEY) -> None:
         self.counted: list[str] = []
-        self.edge = EdgeStory()
-        self.edge.forwarder._on_begun = self.counted.append
+        self.edge = EdgeHarness()
+        self.edge.forwarder._on_execution_started = self.counted.append
         tenants = [{"name": "huka", "apiKeys": [KEY.decode()]}]
         self.edge.tell(configuration_update({**configuration(TENANT_ROUTES), "tenants": tenants}))
         self.edge.tell(*(WorkerUpdate("origin", 1, record) for record in WORKERS))
@@ -93,8 +93,8 @@
         ("/pay/1", (SendFailure.LOST,)),  # the request was sent and may have run
         ("/look/1", (SendFailure.LOST, whole())),  # one request, whichever worker ran it
         ("/look/1", (rejected(), whole())),
-        ("/talk/1", (events(1, 2, breaks=True), events(3, 4))),
-        ("/draft/1", (events(1, 2, breaks=True),)),
+        ("/talk/1", (events(1, 2, is_interrupted=True), events(3, 4))),
+        ("/draft/1", (events(1, 2, is_interrupted=True),)),
     ],
 )
 def test_given_a_request_that_a_worker_began_then_it_counts_once(
