--- a/arrowfold/controlplane/distribution.py
+++ b/arrowfold/controlplane/distribution.py
@@ -31,7 +31,7 @@
 
 MAX_PULL_WAIT_S = 5.0
 ANSWERS_PER_S = 500.0  # with ordinary updates, over all edges: several changes share an answer beyond it
-LONGEST_SPACING_S = 0.4  # maximum time between two answers with ordinary updates to one edge
+MAX_ANSWER_SPACING_S = 0.4  # maximum time between two answers with ordinary updates to one edge
 NOTICES_PER_S = 100.0  # answers without the ordinary updates themselves, over all edges
 MAX_NOTICE_SPACING_S = 1.0
 CURRENT_VALID_S = 0.005  # caches the check for concurrent pulls; far below the safety margin of a lease
@@ -160,7 +160,7 @@
         """Returns the minimum time between two answers with ordinary updates, or notices, to an edge."""
         if notice_only:
             return min(MAX_NOTICE_SPACING_S, self._presence.count() / NOTICES_PER_S)
-        return min(LONGEST_SPACING_S, self._presence.count() / ANSWERS_PER_S)
+        return min(MAX_ANSWER_SPACING_S, self._presence.count() / ANSWERS_PER_S)
 
     async def pull(self, request: PullRequest) -> PullResponse:
         """Answers a pull and records the contact of the edge that sent it."""
--- a/arrowfold/controlplane/registration.py
+++ b/arrowfold/controlplane/registration.py
@@ -117,7 +117,7 @@
             committed = await self.depart(notice)
             if isinstance(committed, Err):
                 return Err(committed.err_value)
-        if self._registry.heard(record):
+        if self._registry.apply_call(record):
             self._on_change()
         return Ok(None)
 
@@ -126,7 +126,7 @@
         if already_committed(self._replica.committed, notice.instance, notice.state):
             return Ok(None)
         if await self._departures.call_primary(notice) is not None:
-            if notice.state == GONE and self._registry.departed(notice.instance):
+            if notice.state == GONE and self._registry.apply_departure(notice.instance):
                 self._on_change()
             return Ok(None)
         return Err(RegistrationFault(ResultCode.REGISTRATION_NOT_DURABLE, "no primary committed it in time"))
--- a/arrowfold/controlplane/usage_service.py
+++ b/arrowfold/controlplane/usage_service.py
@@ -83,8 +83,8 @@
     async def on_report(self, report: UsageReport) -> UsageReceipt:
         """Records the counts of an edge; on every member, as any may become the next holder of the duty."""
         decided_through = self._decisions.ledger.decided_through
-        self._gathering.settle(decided_through)
-        self._gathering.take(report, decided_through)
+        self._gathering.drop_decided(decided_through)
+        self._gathering.record_report(report, decided_through)
         return UsageReceipt(decided_through)
 
     def _current_lease(self) -> HeldRoleLease | None:
@@ -106,14 +106,14 @@
         lease = self._current_lease()
         if lease is None:
             return CHECK_INTERVAL_S
-        self._gathering.settle(self._decisions.ledger.decided_through)
+        self._gathering.drop_decided(self._decisions.ledger.decided_through)
         due = self._gathering.due(self._edges(), self._clock(), self._held_since_s)
         if due is None:
             return CHECK_INTERVAL_S
         decided = await self._decisions.decide(due.window, due.counts, lease.token)
         if decided is None:
             return CHECK_INTERVAL_S
-        self._gathering.settle(due.window)
+        self._gathering.drop_decided(due.window)
         self._log.info(
             "usage.decided",
             holder=self._name,
--- a/arrowfold/controlplane/usage_windows.py
+++ b/arrowfold/controlplane/usage_windows.py
@@ -40,7 +40,7 @@
         self._ended_through: dict[str, int] = {}  # by name of the edge
         self._ended_s: dict[int, float] = {}  # time at which a window was first known to have ended
 
-    def take(self, report: UsageReport, decided_through: int) -> None:
+    def record_report(self, report: UsageReport, decided_through: int) -> None:
         """Records a report; duplicates and reports that arrive out of order don't change the counts."""
         sender = report.sender
         self._ended_through[sender.name] = report.ended_through
@@ -53,7 +53,7 @@
         for window in sorted(self._counts)[:-MAX_WINDOWS]:
             self._drop(window)
 
-    def settle(self, decided_through: int) -> None:
+    def drop_decided(self, decided_through: int) -> None:
         """Drops the windows up to `decided_through`."""
         for window in [window for window in self._counts if window <= decided_through]:
             self._drop(window)
--- a/arrowfold/registry/workers.py
+++ b/arrowfold/registry/workers.py
@@ -66,7 +66,7 @@
         """Returns the current record of each worker by instance id."""
         return {instance: known.update.record for instance, known in self._known.items()}
 
-    def heard(self, record: WorkerRecord) -> bool:
+    def apply_call(self, record: WorkerRecord) -> bool:
         """Applies a call of a worker; returns whether a record was created. Late calls have no effect."""
         known = self._known.get(record.instance)
         now_s = self._clock()
@@ -83,7 +83,7 @@
             return False
         return self._create_record(record, now_s)
 
-    def departed(self, instance: str) -> bool:
+    def apply_departure(self, instance: str) -> bool:
         """Records a committed departure of a worker; returns whether a record was created."""
         known = self._known.get(instance)
         if known is None or known.update.record.state == GONE:
--- a/benchmarks/capacity/system/pulls.py
+++ b/benchmarks/capacity/system/pulls.py
@@ -9,7 +9,7 @@
 
 from result import Result
 
-from arrowfold.controlplane.distribution import LONGEST_SPACING_S, Distributor
+from arrowfold.controlplane.distribution import MAX_ANSWER_SPACING_S, Distributor
 from arrowfold.controlplane.placement_notices import PlacementNotices
 from arrowfold.controlplane.presence import EdgePresence
 from arrowfold.dataplane.tables import FleetTables
@@ -142,7 +142,7 @@
     own = [record for record in records if registry.records()[record.instance] is record][:changes]
     started = time.process_time()
     for record in own:
-        registry.heard(_changed(record))
+        registry.apply_call(_changed(record))
         distributor.wake()
         if not together:
             await _settle()
@@ -160,7 +160,7 @@
 
 async def _settle() -> None:
     """Wait until what changed is answered: an edge may have had its last answer just before."""
-    await asyncio.sleep(LONGEST_SPACING_S)
+    await asyncio.sleep(MAX_ANSWER_SPACING_S)
     for _ in range(6):
         await asyncio.sleep(0)
 
--- a/benchmarks/capacity/system/registries.py
+++ b/benchmarks/capacity/system/registries.py
@@ -40,16 +40,16 @@
     registry = WorkerRegistry(origin_name(0), lambda: 0.0, target.HEARTBEAT_S)
     sequence = 1
 
-    def heard() -> None:
+    def apply_call() -> None:
         nonlocal sequence
         sequence += 1
-        registry.heard(replace(record, call_sequence=sequence))
+        registry.apply_call(replace(record, call_sequence=sequence))
 
     return {
         "body_bytes": float(len(body)),
         "record_bytes": float(len(encoded)),
         "parse_us": processor_s(lambda: parse_registration(record.instance, body)) / MICROSECOND,
-        "heard_us": processor_s(heard) / MICROSECOND,
+        "heard_us": processor_s(apply_call) / MICROSECOND,
         "encode_us": processor_s(lambda: encode(update)) / MICROSECOND,
         "decode_us": processor_s(lambda: decode(encoded)) / MICROSECOND,
     }
@@ -63,7 +63,7 @@
     for number, record in enumerate(records):
         origin = origin_name(number % origins)
         if origin == registry.origin:
-            registry.heard(record)
+            registry.apply_call(record)
             continue
         counters[origin] = counters.get(origin, 0) + 1
         updates.append(WorkerUpdate(origin, counters[origin], record))
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -111,7 +111,7 @@
         records = worker_records(workers, 1)
         registry = registries.filled_registry(records)
         known = replace(records[0], call_sequence=9)
-        counts.append(calls(lambda registry=registry, known=known: registry.heard(known)))  # type: ignore[misc]
+        counts.append(calls(lambda registry=registry, known=known: registry.apply_call(known)))  # type: ignore[misc]
     assert counts[1] <= FLAT * counts[0]
 
 
--- a/tests/system/test_control_distribution.py
+++ b/tests/system/test_control_distribution.py
@@ -71,7 +71,9 @@
     def make_ordinary_update(self) -> None:
         """Changes a worker record."""
         self._heartbeats += 1
-        self.registry.heard(replace(WORKER, capacity_slots=self._heartbeats, call_sequence=self._heartbeats))
+        self.registry.apply_call(
+            replace(WORKER, capacity_slots=self._heartbeats, call_sequence=self._heartbeats)
+        )
         self.distributor.wake()
 
     async def pull_notice(self) -> PullResponse:
--- a/tests/system/test_registry_workers.py
+++ b/tests/system/test_registry_workers.py
@@ -31,16 +31,16 @@
 
 def test_given_ordinary_heartbeats_then_only_the_first_makes_a_record() -> None:
     registry = WorkerRegistry("a.1", _Clock(), HEARTBEAT_INTERVAL_S)
-    assert registry.heard(_record("i", 1))
-    assert not registry.heard(_record("i", 2))
+    assert registry.apply_call(_record("i", 1))
+    assert not registry.apply_call(_record("i", 2))
     assert registry.vector() == {"a.1": 1}
     assert registry.records()["i"].call_sequence == 2
 
 
 def test_given_a_late_call_then_it_has_no_effect() -> None:
     registry = WorkerRegistry("a.1", _Clock(), HEARTBEAT_INTERVAL_S)
-    registry.heard(_record("i", 5, "draining"))
-    assert not registry.heard(_record("i", 4))
+    registry.apply_call(_record("i", 5, "draining"))
+    assert not registry.apply_call(_record("i", 4))
     assert registry.records()["i"].state == "draining"
 
 
@@ -50,9 +50,9 @@
         WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S),
         WorkerRegistry("b.1", clock, HEARTBEAT_INTERVAL_S),
     )
-    first.heard(_record("i", 1))
+    first.apply_call(_record("i", 1))
     _exchange(second, first)
-    assert second.heard(_record("i", 2))
+    assert second.apply_call(_record("i", 2))
     _exchange(first, second)
     clock.now += 10.0
     first.sweep(lambda origin: True)
@@ -64,19 +64,19 @@
 def test_given_a_silent_worker_then_it_is_marked_and_a_newer_heartbeat_reverts_it() -> None:
     clock = _Clock()
     registry = WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S)
-    registry.heard(_record("i", 1))
+    registry.apply_call(_record("i", 1))
     for _ in range(8):
         clock.now += 0.5
         registry.sweep(lambda origin: True)
     assert registry.records()["i"].state == SILENT
-    assert registry.heard(_record("i", 2))
+    assert registry.apply_call(_record("i", 2))
     assert registry.records()["i"].state == AVAILABLE
 
 
 def test_given_a_pause_of_this_process_then_no_worker_is_marked_silent() -> None:
     clock = _Clock()
     registry = WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S)
-    registry.heard(_record("i", 1))
+    registry.apply_call(_record("i", 1))
     registry.sweep(lambda origin: True)
     clock.now += 30.0
     assert not registry.sweep(lambda origin: True)
@@ -91,7 +91,7 @@
         WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S),
         WorkerRegistry("b.1", clock, HEARTBEAT_INTERVAL_S),
     )
-    first.heard(_record("i", 1))
+    first.apply_call(_record("i", 1))
     _exchange(second, first)
     for _ in range(8):
         clock.now += 0.5
@@ -107,9 +107,9 @@
         WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S),
         WorkerRegistry("b.1", clock, HEARTBEAT_INTERVAL_S),
     )
-    first.heard(_record("i", 1))
+    first.apply_call(_record("i", 1))
     _exchange(second, first)
-    first.heard(_record("i", 2))  # an ordinary heartbeat, which is not distributed to the other node
+    first.apply_call(_record("i", 2))  # an ordinary heartbeat, which is not distributed to the other node
     for _ in range(9):
         clock.now += 0.5
         second.sweep(lambda origin: False)
@@ -122,7 +122,7 @@
 def test_given_a_draining_worker_that_times_out_then_it_is_permanently_gone() -> None:
     clock = _Clock()
     registry = WorkerRegistry("a.1", clock, HEARTBEAT_INTERVAL_S)
-    registry.heard(_record("i", 1, "draining"))
+    registry.apply_call(_record("i", 1, "draining"))
     for _ in range(20):
         clock.now += 0.5
         registry.sweep(lambda origin: True)
@@ -131,7 +131,7 @@
         clock.now += 0.5
         registry.sweep(lambda origin: True)
     assert registry.records()["i"].state == "gone"
-    assert not registry.heard(_record("i", 2))
+    assert not registry.apply_call(_record("i", 2))
 
 
 def test_given_a_committed_departure_then_it_is_distributed() -> None:
@@ -139,10 +139,10 @@
         WorkerRegistry("a.1", _Clock(), HEARTBEAT_INTERVAL_S),
         WorkerRegistry("b.1", _Clock(), HEARTBEAT_INTERVAL_S),
     )
-    first.heard(_record("i", 3, "draining"))
+    first.apply_call(_record("i", 3, "draining"))
     _exchange(second, first)
-    assert second.departed("i")
-    assert not second.departed("i")
+    assert second.apply_departure("i")
+    assert not second.apply_departure("i")
     _exchange(first, second)
     assert first.records()["i"].state == "gone"
 
@@ -171,7 +171,7 @@
             calls[other] += 1
             drained |= {other} if kind == "drain" else set()
             state = "draining" if other in drained else AVAILABLE
-            nodes[node].heard(_record(f"i{other}", calls[other], state))
+            nodes[node].apply_call(_record(f"i{other}", calls[other], state))
         elif kind == "exchange" and node != other:
             _exchange(nodes[node], nodes[other])
         else:
--- a/tests/system/test_usage_ledger.py
+++ b/tests/system/test_usage_ledger.py
@@ -104,10 +104,10 @@
 def test_given_a_repeated_report_then_nothing_counts_twice(times: int) -> None:
     gathering = UsageGathering(LATE_S)
     for _ in range(times):
-        gathering.take(_report("e1", 7, (7, {"huka": 3})), 6)
-        gathering.take(_report("e2", 7, (7, {"huka": 2, "puhu": 1})), 6)
-        gathering.take(_report("e2", 7, (7, {"huka": 1})), 6)  # an older report that arrived late
-    gathering.take(_report("e3", 7), 6)
+        gathering.record_report(_report("e1", 7, (7, {"huka": 3})), 6)
+        gathering.record_report(_report("e2", 7, (7, {"huka": 2, "puhu": 1})), 6)
+        gathering.record_report(_report("e2", 7, (7, {"huka": 1})), 6)  # an older report that arrived late
+    gathering.record_report(_report("e3", 7), 6)
     due = gathering.due(_EDGES, 10.0, 0.0)
     assert due is not None
     assert (due.window, due.counts, due.is_complete) == (7, {"huka": 5, "puhu": 1}, True)
@@ -115,24 +115,24 @@
 
 def test_given_a_restarted_edge_then_the_counts_of_both_runs_add_up() -> None:
     gathering = UsageGathering(LATE_S)
-    gathering.take(_report("e1", 6, (7, {"huka": 3})), 6)
-    gathering.take(_report("e1", 7, (7, {"huka": 2}), run="2"), 6)
+    gathering.record_report(_report("e1", 6, (7, {"huka": 3})), 6)
+    gathering.record_report(_report("e1", 7, (7, {"huka": 2}), run="2"), 6)
     due = gathering.due(frozenset({"e1"}), 10.0, 0.0)
     assert due is not None and due.counts == {"huka": 5}
 
 
 def test_given_one_edge_with_its_clock_set_ahead_then_no_window_ends_by_it() -> None:
     gathering = UsageGathering(LATE_S)
-    gathering.take(_report("e1", 90, (7, {"huka": 3})), 6)
-    gathering.take(_report("e2", 6, (7, {"huka": 3})), 6)
-    gathering.take(_report("e3", 6, (7, {"huka": 3})), 6)
+    gathering.record_report(_report("e1", 90, (7, {"huka": 3})), 6)
+    gathering.record_report(_report("e2", 6, (7, {"huka": 3})), 6)
+    gathering.record_report(_report("e3", 6, (7, {"huka": 3})), 6)
     assert gathering.due(_EDGES, 100.0, 0.0) is None
 
 
 def test_given_an_unresponsive_edge_then_an_ended_window_waits_for_it_only_for_a_time() -> None:
     gathering = UsageGathering(LATE_S)
-    gathering.take(_report("e1", 7, (7, {"huka": 3})), 6)
-    gathering.take(_report("e2", 7), 6)
+    gathering.record_report(_report("e1", 7, (7, {"huka": 3})), 6)
+    gathering.record_report(_report("e2", 7), 6)
     assert gathering.due(_EDGES, 10.0, 0.0) is None
     assert gathering.due(_EDGES, 10.0 + LATE_S - 0.1, 0.0) is None
     due = gathering.due(_EDGES, 10.0 + LATE_S, 0.0)
@@ -142,7 +142,7 @@
 def test_given_a_new_holder_then_it_gathers_before_it_decides() -> None:
     # A new holder that decided on the first reports would omit counts that other edges have yet to report.
     gathering = UsageGathering(LATE_S)
-    gathering.take(_report("e1", 7, (7, {"huka": 3})), 6)
+    gathering.record_report(_report("e1", 7, (7, {"huka": 3})), 6)
     only = frozenset({"e1"})
     assert GATHERING_S > 2 * REPORT_INTERVAL_S  # each edge has reported twice
     assert gathering.due(only, 50.0 + GATHERING_S - 0.1, 50.0) is None
@@ -151,9 +151,9 @@
 
 def test_given_settled_windows_then_they_are_dropped_and_not_counted_again() -> None:
     gathering = UsageGathering(LATE_S)
-    gathering.take(_report("e1", 7, (7, {"huka": 3})), 6)
-    gathering.settle(7)
-    gathering.take(_report("e1", 7, (7, {"huka": 3})), 7)
+    gathering.record_report(_report("e1", 7, (7, {"huka": 3})), 6)
+    gathering.drop_decided(7)
+    gathering.record_report(_report("e1", 7, (7, {"huka": 3})), 7)
     assert gathering.due(frozenset({"e1"}), 50.0, 0.0) is None
 
 
