--- a/arrowfold/configuration/changes.py
+++ b/arrowfold/configuration/changes.py
@@ -49,7 +49,7 @@
     It doesn't depend on the whitespace or the key order of the body.
     """
     text = read_object(body).map_or(body, write_canonical)
-    head = f"{kind.upper()}\n{normal_precondition(if_match)}\n".encode()
+    head = f"{kind.upper()}\n{normalize_if_match(if_match)}\n".encode()
     return hashlib.sha256(head + text).digest()
 
 
@@ -75,7 +75,7 @@
     return Err(ConfigurationFault(ResultCode.CONFIGURATION_VERSION_NOT_ABOVE, "version", text))
 
 
-def normal_precondition(if_match: str | None) -> str | None:
+def normalize_if_match(if_match: str | None) -> str | None:
     """Returns the version in an If-Match header, without quotes and the weak-validator prefix."""
     return None if if_match is None else if_match.strip().removeprefix("W/").strip('"').strip()
 
@@ -83,7 +83,7 @@
 def _precondition_fault(
     current: ConfigurationDocument | None, if_match: str | None
 ) -> ConfigurationFault | None:
-    text = normal_precondition(if_match)
+    text = normalize_if_match(if_match)
     if text is None:
         return ConfigurationFault(ResultCode.CONFIGURATION_PRECONDITION_MISSING, "", "If-Match is missing")
     if text == str(_current_version(current)):
--- a/arrowfold/configuration/routes.py
+++ b/arrowfold/configuration/routes.py
@@ -40,7 +40,7 @@
     max_attempts: int
     resumable: bool
     session_affinity: bool
-    gap_aim_s: float | None
+    gap_objective_s: float | None
     public_access: bool = False  # requests need no API key
 
     def pick_service(self, fraction: float) -> str:
@@ -203,7 +203,7 @@
         max_attempts=get("maxAttempts", 1),
         resumable=get("resumable", False),
         session_affinity=get("sessionAffinity", False),
-        gap_aim_s=_seconds(get("gap_aim_ms")),
+        gap_objective_s=_seconds(get("gap_aim_ms")),
         public_access=get("publicAccess", False),
     )
 
--- a/arrowfold/controlplane/changes.py
+++ b/arrowfold/controlplane/changes.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok
 
-from arrowfold.configuration.changes import change_digest, normal_precondition, prepare_patch, prepare_put
+from arrowfold.configuration.changes import change_digest, normalize_if_match, prepare_patch, prepare_put
 from arrowfold.configuration.diffs import delta
 from arrowfold.configuration.documents import ConfigurationDocument
 from arrowfold.configuration.faults import ConfigurationFault, fault_status
@@ -131,7 +131,7 @@
 
 def may_be_dropped_change(state: ControlState, if_match: str | None) -> bool:
     """Returns whether a change of this version may have been accepted and its digest dropped since."""
-    base_version = normal_precondition(if_match) or ""
+    base_version = normalize_if_match(if_match) or ""
     if len(state.accepted) < REMEMBERED_CHANGES or not base_version.isdigit():
         return False
     return int(base_version) < min(state.accepted.values())
--- a/arrowfold/controlplane/distribution.py
+++ b/arrowfold/controlplane/distribution.py
@@ -23,7 +23,7 @@
     PullResponse,
     RoleOwner,
     WorkerUpdate,
-    view_mark,
+    view_checksum,
 )
 from arrowfold.registry.workers import WorkerRegistry
 from arrowfold.replication.proposals import ReplicaPort
@@ -203,5 +203,5 @@
     def _marked_view(self) -> tuple[ClusterView, int]:
         view = self.view()
         if self._cached_view is None or self._cached_view[0] != view:
-            self._cached_view = (view, view_mark(view))
+            self._cached_view = (view, view_checksum(view))
         return self._cached_view
--- a/arrowfold/dataplane/attempts.py
+++ b/arrowfold/dataplane/attempts.py
@@ -107,7 +107,7 @@
         latency_objective_s=route.latency_objective_s,
         deadline_s=request.arrived_s + time_limit_s,
         attempts_left=route.max_attempts,
-        pause_objective_s=route.gap_aim_s or 0.0,
+        pause_objective_s=route.gap_objective_s or 0.0,
         client_wait_s=time_limit_s if client_deadline_ms is None else client_deadline_ms / 1000,
     )
     return RequestProgress(
--- a/arrowfold/dataplane/puller.py
+++ b/arrowfold/dataplane/puller.py
@@ -15,7 +15,7 @@
 from arrowfold.dataplane.freshness import StateFreshness
 from arrowfold.dataplane.tables import FleetTables
 from arrowfold.internal.channel import ChannelClient
-from arrowfold.internal.messages import ClusterView, NodeIdentity, PullRequest, PullResponse, view_mark
+from arrowfold.internal.messages import ClusterView, NodeIdentity, PullRequest, PullResponse, view_checksum
 from arrowfold.node.logs import RateLimitedLog
 
 POLL_S = 1.0  # maximum time for which a control node may hold a pull
@@ -167,7 +167,7 @@
         """Returns the mark of the view held, 0 for none."""
         view = self._tables.snapshot.view
         if view is not self._view_and_mark[0]:
-            self._view_and_mark = (view, view_mark(view) if view is not None else 0)
+            self._view_and_mark = (view, view_checksum(view) if view is not None else 0)
         return self._view_and_mark[1]
 
     async def _call(self, source: _Source, wait_s: float, notice_only: bool) -> PullResponse | None:
--- a/arrowfold/explain/summary.py
+++ b/arrowfold/explain/summary.py
@@ -15,14 +15,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Worth:
+class AnswerValue:
     """The value of an answer of one priority if it is in time and if it is late."""
 
     in_time: float = 1.0
     late: float = 0.3
 
 
-AnswerValues = Mapping[int, Worth]  # by the route's priority
+AnswerValues = Mapping[int, AnswerValue]  # by the route's priority
 
 
 def summary_lines(records: Records, answer_values: AnswerValues) -> Iterator[str]:
@@ -45,7 +45,7 @@
 
     A refused request that is sent again counts each time.
     """
-    value = answer_values.get(request.priority, Worth())
+    value = answer_values.get(request.priority, AnswerValue())
     return value.in_time - (value.late if request.is_served else 0.0)
 
 
--- a/arrowfold/internal/channel.py
+++ b/arrowfold/internal/channel.py
@@ -20,7 +20,7 @@
 from arrowfold.node.result_codes import ResultCode
 
 PROTOCOL_VERSION = 1
-LARGEST_FRAME = 8 * 1024 * 1024  # bytes; a larger frame closes the connection
+MAX_FRAME_BYTES = 8 * 1024 * 1024  # bytes; a larger frame closes the connection
 CLOSE_TIMEOUT_S = 1.0  # maximum wait for the tasks of closed connections
 TCP_USER_TIMEOUT_MS = 2_000  # maximum time that sent bytes may stay unacknowledged
 Handler = Callable[[Any], Awaitable[Any]]
@@ -39,7 +39,7 @@
 
 async def _read_frame(reader: asyncio.StreamReader) -> tuple[int, Any]:
     size = int.from_bytes(await reader.readexactly(4), "big")
-    if size > LARGEST_FRAME:
+    if size > MAX_FRAME_BYTES:
         raise CodecError(f"frame of {size} bytes is too large")
     frame = decode(await reader.readexactly(size))
     if not isinstance(frame, list | tuple) or len(frame) != 3 or frame[0] != PROTOCOL_VERSION:
--- a/arrowfold/internal/messages.py
+++ b/arrowfold/internal/messages.py
@@ -156,7 +156,7 @@
     roles: tuple[RoleOwner, ...] = ()
 
 
-def view_mark(view: ClusterView) -> int:
+def view_checksum(view: ClusterView) -> int:
     """Returns a checksum above 0 that is the same for equal views on all nodes."""
     return zlib.crc32(encode(view)) + 1
 
--- a/arrowfold/node/process_signals.py
+++ b/arrowfold/node/process_signals.py
@@ -43,7 +43,7 @@
         self._on_termination: Callable[[], object] = lambda: None
         self._on_hangup: Callable[[], object] = lambda: None
 
-    def guard(self) -> None:
+    def install(self) -> None:
         """Block the signals and start the thread that receives them.
 
         Must be called once, before any other thread is started.
--- a/arrowfold/programs/edge.py
+++ b/arrowfold/programs/edge.py
@@ -24,7 +24,7 @@
 def main(arguments: list[str] | None = None) -> int:
     """Run an edge node until SIGTERM or SIGINT; returns the exit code."""
     signals = ProcessSignals()
-    signals.guard()
+    signals.install()
     from docopt import docopt  # imported once signals are handled, as its import takes time
 
     options = docopt(__doc__, argv=arguments)
--- a/arrowfold/programs/system.py
+++ b/arrowfold/programs/system.py
@@ -37,7 +37,7 @@
 
 if TYPE_CHECKING:
     from arrowfold.configuration.documents import RouteDocument
-    from arrowfold.explain.summary import Worth
+    from arrowfold.explain.summary import AnswerValue
 
 EXIT_SUCCESS = 0
 EXIT_TRIAL_FAILED = 1
@@ -150,16 +150,16 @@
     return EXIT_SUCCESS
 
 
-def _parse_values(text: str) -> dict[int, Worth] | None:
+def _parse_values(text: str) -> dict[int, AnswerValue] | None:
     """Parses `priority=in time/late,...` to values by priority; returns None if the text is malformed."""
-    from arrowfold.explain.summary import Worth
+    from arrowfold.explain.summary import AnswerValue
 
     values = {}
     for item in filter(None, text.split(",")):
         priority, _, pair = item.partition("=")
         in_time, _, late = pair.partition("/")
         try:
-            values[int(priority)] = Worth(float(in_time), float(late))
+            values[int(priority)] = AnswerValue(float(in_time), float(late))
         except ValueError:
             return None
     return values
--- a/benchmarks/capacity/system/pulls.py
+++ b/benchmarks/capacity/system/pulls.py
@@ -22,7 +22,7 @@
     PullResponse,
     WorkerRecord,
     WorkerUpdate,
-    view_mark,
+    view_checksum,
 )
 from arrowfold.replication.proposals import AnswerT, Decide, ReplicaPort, ReplicationFault
 from arrowfold.replication.state import ControlState
@@ -123,7 +123,7 @@
     distributor = Distributor(replica, registry, presence, lambda: (), notices)
     sent = answers = 0
     vectors = [distributor.vector() for _ in range(edges)]
-    known_view = view_mark(distributor.view())
+    known_view = view_checksum(distributor.view())
 
     async def follow(edge: int) -> None:
         nonlocal sent, answers
--- a/benchmarks/capacity/system/worked_out.py
+++ b/benchmarks/capacity/system/worked_out.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from arrowfold.dataplane.puller import ANSWER_SLACK_S, NOTICE_PAUSE_S, POLL_S
-from arrowfold.internal.channel import LARGEST_FRAME
+from arrowfold.internal.channel import MAX_FRAME_BYTES
 from benchmarks.capacity.fitting import Results
 from benchmarks.capacity.system import target
 from benchmarks.capacity.system.fits import Label, Lines, Unmeasured
@@ -285,7 +285,7 @@
         "the whole table in one frame",
         "`internal/channel.py`",
         "bytes",
-        float(LARGEST_FRAME),
+        float(MAX_FRAME_BYTES),
         Scaled.table_bytes,
     ),
 )
--- a/tests/system/test_configuration_routes.py
+++ b/tests/system/test_configuration_routes.py
@@ -95,8 +95,8 @@
         ]
     )
     first, second = item.routes
-    assert (first.timeout_s, first.latency_objective_s, first.gap_aim_s) == (5.0, 0.8, 0.4)
-    assert (second.latency_objective_s, second.gap_aim_s, second.max_attempts) == (0.9, None, 1)
+    assert (first.timeout_s, first.latency_objective_s, first.gap_objective_s) == (5.0, 0.8, 0.4)
+    assert (second.latency_objective_s, second.gap_objective_s, second.max_attempts) == (0.9, None, 1)
     assert not second.repeatable
     assert item.limits == Limits(max_header_bytes=16384, idle_timeout_s=15.0)
 
--- a/tests/system/test_control_changes.py
+++ b/tests/system/test_control_changes.py
@@ -20,7 +20,7 @@
 )
 from arrowfold.controlplane.distribution import configuration_updates
 from arrowfold.controlplane.http_interface import MAX_BODY_BYTES
-from arrowfold.internal.channel import LARGEST_FRAME
+from arrowfold.internal.channel import MAX_FRAME_BYTES
 from arrowfold.internal.codec import decode, encode
 from arrowfold.internal.messages import ConfigurationDelta, ConfigurationUpdate, SubmitChange, SubmitResult
 from arrowfold.node.result_codes import ResultCode
@@ -156,8 +156,8 @@
             for number in range(REMEMBERED_DEPARTURES)
         },
     )
-    assert len(encode(StateImage(1, 1, 1, largest))) < LARGEST_FRAME * 3 // 4
-    assert len(encode(SubmitChange("PATCH", "7", b"x" * MAX_BODY_BYTES))) < LARGEST_FRAME * 9 // 10
+    assert len(encode(StateImage(1, 1, 1, largest))) < MAX_FRAME_BYTES * 3 // 4
+    assert len(encode(SubmitChange("PATCH", "7", b"x" * MAX_BODY_BYTES))) < MAX_FRAME_BYTES * 9 // 10
 
 
 def _after_many_changes(number: int) -> ControlState:
--- a/tests/system/test_control_distribution.py
+++ b/tests/system/test_control_distribution.py
@@ -21,7 +21,7 @@
     PullRequest,
     PullResponse,
     WorkerRecord,
-    view_mark,
+    view_checksum,
 )
 from arrowfold.registry.workers import WorkerRegistry
 from arrowfold.replication.state import ConfigurationStep, ControlState, apply_entry
@@ -180,12 +180,12 @@
     first = await fixture.pull()
     assert first.view is not None
     fixture.make_ordinary_update()
-    again = await fixture.pull(known_view=view_mark(first.view))
+    again = await fixture.pull(known_view=view_checksum(first.view))
     assert again.view is None
     # And a changed view is included
     fixture.replica.epoch = 2
     fixture.make_ordinary_update()
-    later = await fixture.pull(known_view=view_mark(first.view))
+    later = await fixture.pull(known_view=view_checksum(first.view))
     assert later.view is not None
     assert later.view.epoch == 2
 
--- a/tests/system/test_explain.py
+++ b/tests/system/test_explain.py
@@ -12,7 +12,7 @@
 from arrowfold.dataplane.request_trace import REQUEST_KIND, RequestTrace
 from arrowfold.explain.causes import Cause, cause_of
 from arrowfold.explain.records import LateRequest, read_records
-from arrowfold.explain.summary import Worth, summary_lines
+from arrowfold.explain.summary import AnswerValue, summary_lines
 from arrowfold.node.result_codes import ResultCode
 from arrowfold.node.traces import MAX_RECORDS_PER_SECOND, TraceWriter
 from arrowfold.programs import system
@@ -110,7 +110,7 @@
     late = record(missed=0, load_known=140, held=1100, sends=[LATE_ATTEMPT])
     refused = record(priority=2, status=503, code=305)
     lines = [late, refused, json.dumps(load, separators=(",", ":"))]
-    text = "\n".join(summary_lines(read_records(lines), {0: Worth(3.0, 0.3), 2: Worth(1.0, 0.1)}))
+    text = "\n".join(summary_lines(read_records(lines), {0: AnswerValue(3.0, 0.3), 2: AnswerValue(1.0, 0.1)}))
     assert "2 requests late, refused or failed" in text
     assert "       2.7   its model was not held: waited for a load (0: 1)" in text
     assert "       1.0   its model was not held: refused until the load's end (2: 1)" in text
--- a/tests/system/test_process_signals.py
+++ b/tests/system/test_process_signals.py
@@ -160,7 +160,7 @@
 sys.exit(3)
 """
 SIGNAL_HANDLING = {
-    "system": "from arrowfold.node.process_signals import ProcessSignals\nProcessSignals().guard()",
+    "system": "from arrowfold.node.process_signals import ProcessSignals\nProcessSignals().install()",
     "service": "from arrowfold.program.signals import Signals\ntaken = Signals()\ntaken.ignore_further()",
     "nothing": "signal.signal(signal.SIGHUP, lambda number, frame: None)",
 }
