--- a/arrowfold/controlplane/node.py
+++ b/arrowfold/controlplane/node.py
@@ -51,12 +51,12 @@
 from arrowfold.placement.ceiling import MAX_ORDER_DELAY_S
 from arrowfold.placement.options import PlacementOptions
 from arrowfold.registry.workers import WorkerRegistry
-from arrowfold.replication.durable import DurableImage
+from arrowfold.replication.durable import DurableState
 from arrowfold.replication.identity import Identity
 from arrowfold.replication.member import GroupMember
 from arrowfold.replication.recovery import NewIdentity, open_storage
 from arrowfold.replication.replica import Replica
-from arrowfold.replication.roles import RoleAuthority, hand_over_wait_s
+from arrowfold.replication.roles import RoleAuthority, handover_wait_s
 from arrowfold.replication.state import ControlState
 from arrowfold.replication.timings import Timings
 from arrowfold.scaling.options import ScalingOptions
@@ -125,7 +125,7 @@
         presence = EdgePresence(clock, settings.bounds.budgetWindowS)
         notices = PlacementNotices(lambda: distributor.wake(), clock)
         distributor = Distributor(replica, registry, presence, lambda: _role_owners(replica), notices)
-        wait_s = hand_over_wait_s(settings.bounds, MAX_ORDER_DELAY_S)
+        wait_s = handover_wait_s(settings.bounds, MAX_ORDER_DELAY_S)
         authority = RoleAuthority(replica, clock, replica.authority_until, wait_s)
         placement = PlacementService(
             replica,
@@ -156,7 +156,7 @@
             workers = () if scaling is None else scaling_roles(state, scaling.zones)
             return (*placement_roles(state), *usage_roles(duties), *workers)
 
-        replica.want_roles(required_roles, companion_role)
+        replica.set_required_roles(required_roles, companion_role)
         replica.add_listener(authority.observe)
         replica.add_listener(distributor.wake_urgently)
         replica.add_listener(pulls.follow_members)
@@ -229,7 +229,7 @@
             self._scaling_options,
         )
 
-    async def _recover(self, clock: Callable[[], float]) -> tuple[Identity, DurableImage]:
+    async def _recover(self, clock: Callable[[], float]) -> tuple[Identity, DurableState]:
         folder = OsFolder(Path(self._settings.dataDirectory or "/tmp/arrowfold-control"))
         seeds = self._settings.seed_internal_addresses()
         new = NewIdentity(secrets.token_hex(8), self._settings.firstStart, seeds)
@@ -238,7 +238,7 @@
                 opened = await self._disk.run(lambda: open_storage(folder, new))
                 if opened.damage is not None:
                     self._log.error("storage.damaged", reason=str(opened.damage))
-                return opened.identity, DurableImage(opened.log, self._disk, clock, opened.image)
+                return opened.identity, DurableState(opened.log, self._disk, clock, opened.persisted)
             except OSError as error:
                 self._log.warning("storage.open_failed", reason=str(error))
                 await asyncio.sleep(STORAGE_RETRY_INTERVAL_S)
--- a/arrowfold/membership/part.py
+++ b/arrowfold/membership/part.py
@@ -46,7 +46,7 @@
     return current
 
 
-class Part:
+class WorkerSubset:
     """The subset of one node.
 
     The cost of an update is proportional to its size plus the number of zones and kinds; an update that
--- a/arrowfold/programs/state.py
+++ b/arrowfold/programs/state.py
@@ -36,10 +36,15 @@
 from arrowfold.internal.messages import MemberInfo
 from arrowfold.node.result_codes import ResultCode
 from arrowfold.node.settings import NodeSettings, load_settings
-from arrowfold.replication.durable import image_of
-from arrowfold.replication.founding_anew import ExportedState, export_state, found_anew, read_export
+from arrowfold.replication.durable import recover_member_state
+from arrowfold.replication.founding_anew import (
+    ExportedState,
+    bootstrap_from_export,
+    export_state,
+    read_export,
+)
 from arrowfold.replication.identity import Identity, read_identity
-from arrowfold.replication.records import MemberImage
+from arrowfold.replication.records import PersistedState
 from arrowfold.storage.faults import DamagedStorage
 from arrowfold.storage.folders import OsFolder
 from arrowfold.storage.log import read_log
@@ -61,7 +66,7 @@
     path = Path(options["DIR"])
     if not path.is_dir():
         return _report_error(ResultCode.USAGE, f"{path}: no such folder")
-    commands: dict[str, Callable[[Identity, MemberImage], int]] = {
+    commands: dict[str, Callable[[Identity, PersistedState], int]] = {
         "inspect": _inspect,
         "verify": _verify,
         "export": lambda identity, persisted: _export(identity, persisted, options["--whole"]),
@@ -77,18 +82,18 @@
     return command(identity, persisted)
 
 
-def _read_persisted_state(folder: OsFolder) -> tuple[Identity | None, MemberImage]:
+def _read_persisted_state(folder: OsFolder) -> tuple[Identity | None, PersistedState]:
     """Read the folder, again if its node changes it meanwhile; raises DamagedStorage or FileNotFoundError."""
     for attempt in range(READ_ATTEMPTS):
         try:
-            return read_identity(folder), image_of(read_log(folder))
+            return read_identity(folder), recover_member_state(read_log(folder))
         except (FileNotFoundError, DamagedStorage):
             if attempt == READ_ATTEMPTS - 1:
                 raise
     raise AssertionError("unreachable")
 
 
-def _inspect(identity: Identity, persisted: MemberImage) -> int:
+def _inspect(identity: Identity, persisted: PersistedState) -> int:
     print(f"member {identity.member}{' (founder)' if identity.founder else ''}")
     print(f"promised epoch {persisted.promised} to {persisted.promised_to or 'nobody'}")
     record = persisted.record
@@ -108,12 +113,12 @@
     return EXIT_SUCCESS
 
 
-def _verify(identity: Identity, persisted: MemberImage) -> int:
+def _verify(identity: Identity, persisted: PersistedState) -> int:
     print(f"member {identity.member}: everything reads back, position {persisted.state.sequence}")
     return EXIT_SUCCESS
 
 
-def _export(identity: Identity, persisted: MemberImage, state_file: str | None) -> int:
+def _export(identity: Identity, persisted: PersistedState, state_file: str | None) -> int:
     """Write the whole state to `state_file`, or the configuration to standard output if it is None."""
     if state_file is not None:
         Path(state_file).write_bytes(export_state(identity.member, persisted))
@@ -161,7 +166,7 @@
         settings.zone,
     )
     Path(directory).mkdir(parents=True, exist_ok=True)
-    written = found_anew(OsFolder(Path(directory)), exported, member)
+    written = bootstrap_from_export(OsFolder(Path(directory)), exported, member)
     if isinstance(written, Err):
         return _report_error(ResultCode.USAGE, f"{directory}: {written.err_value}")
     print(f"{directory}: member {member.member}, epoch {written.ok_value.promised}; start its node next")
--- a/arrowfold/replication/durable.py
+++ b/arrowfold/replication/durable.py
@@ -12,7 +12,7 @@
 
 from arrowfold.internal.codec import decode, encode
 from arrowfold.replication.ports import Clock
-from arrowfold.replication.records import LogRecord, MemberImage, RecordConfirmed, apply_record
+from arrowfold.replication.records import LogRecord, PersistedState, RecordConfirmed, apply_record
 from arrowfold.storage.faults import DamagedStorage, StorageFault
 from arrowfold.storage.log import RecoveredLog, SegmentedLog
 from arrowfold.storage.worker import DiskWorker
@@ -21,20 +21,20 @@
 REPAIR_INTERVAL_S = 0.5  # minimum time between attempts to restart the log after a failed write
 
 
-def image_of(recovered: RecoveredLog) -> MemberImage:
+def recover_member_state(recovered: RecoveredLog) -> PersistedState:
     """Rebuild a member's state from a recovered log; raises DamagedStorage if a record can't be read."""
     try:
-        image = MemberImage() if recovered.snapshot is None else decode(recovered.snapshot)
+        persisted = PersistedState() if recovered.snapshot is None else decode(recovered.snapshot)
         for record in recovered.records:
-            image = apply_record(image, decode(record))
+            persisted = apply_record(persisted, decode(record))
     except Exception as error:
         raise DamagedStorage("log", 0, f"a record can't be read: {error}") from error
-    assert isinstance(image, MemberImage)
-    return image
+    assert isinstance(persisted, PersistedState)
+    return persisted
 
 
-class DurableImage:
-    """A `MemberImage` and the log that persists it.
+class DurableState:
+    """A `PersistedState` and the log that persists it.
 
     `change` holds the lock until the disk has finished, also beyond the caller's timeout; a change that
     becomes durable late is equivalent to a message that arrives late. After a failed write the log is
@@ -42,7 +42,9 @@
     epoch whose record is known to be chosen according to the disk.
     """
 
-    def __init__(self, log: SegmentedLog, worker: DiskWorker, clock: Clock, image: MemberImage) -> None:
+    def __init__(
+        self, log: SegmentedLog, worker: DiskWorker, clock: Clock, persisted: PersistedState
+    ) -> None:
         self._log = log
         self._worker = worker
         self._clock = clock
@@ -51,10 +53,12 @@
         self._busy_since: float | None = None
         self._next_repair = 0.0
         self._unwritten: list[RecordConfirmed] = []
-        self._tasks: set[asyncio.Task[Result[MemberImage, StorageFault]]] = set()
+        self._tasks: set[asyncio.Task[Result[PersistedState, StorageFault]]] = set()
         self.compact_bytes = COMPACT_BYTES
-        self.image = image
-        self.confirmed_epoch = image.record.epoch if image.confirmed and image.record is not None else 0
+        self.persisted = persisted
+        self.confirmed_epoch = (
+            persisted.record.epoch if persisted.confirmed and persisted.record is not None else 0
+        )
 
     def is_healthy(self, timeout_s: float) -> bool:
         """Whether the last write succeeded and no write has been in progress for more than `timeout_s`."""
@@ -67,7 +71,7 @@
         Only for records that are safe to lose: if power is lost before the write, this member needs promises
         from more voters than necessary.
         """
-        self.image = apply_record(self.image, record)
+        self.persisted = apply_record(self.persisted, record)
         self._unwritten.append(record)
 
     async def flush(self) -> None:
@@ -79,10 +83,10 @@
 
     async def change(
         self,
-        decide: Callable[[MemberImage], Result[LogRecord, StorageFault]],
+        decide: Callable[[PersistedState], Result[LogRecord, StorageFault]],
         timeout_s: float,
         on_failure: Callable[[], None] | None = None,
-    ) -> Result[MemberImage, StorageFault]:
+    ) -> Result[PersistedState, StorageFault]:
         """Write the record that `decide` returns for the current state.
 
         Returns the new state once it is durable, or a StorageFault if `decide` refused, the write failed or
@@ -99,11 +103,11 @@
 
     async def _change(
         self,
-        decide: Callable[[MemberImage], Result[LogRecord, StorageFault]],
+        decide: Callable[[PersistedState], Result[LogRecord, StorageFault]],
         on_failure: Callable[[], None] | None,
-    ) -> Result[MemberImage, StorageFault]:
+    ) -> Result[PersistedState, StorageFault]:
         async with self._lock:
-            decision = decide(self.image)
+            decision = decide(self.persisted)
             if isinstance(decision, Err):
                 return Err(decision.err_value)
             written = await self._write([decision.ok_value])
@@ -111,10 +115,10 @@
                 if on_failure is not None:
                     on_failure()
                 return Err(written.err_value)
-            self.image = apply_record(self.image, decision.ok_value)
+            self.persisted = apply_record(self.persisted, decision.ok_value)
             if self._log.segment_bytes > self.compact_bytes:
                 await self._compact()
-            return Ok(self.image)
+            return Ok(self.persisted)
 
     async def _write(self, records: Sequence[LogRecord]) -> Result[None, StorageFault]:
         """Append the noted records, then these, with one sync; restart a broken log first."""
@@ -122,7 +126,7 @@
         encoded = [encode(item) for item in (*notes, *records)]
         try:
             if self._broken:
-                await self._run(lambda: self._log.compact(encode(self.image)))
+                await self._run(lambda: self._log.compact(encode(self.persisted)))
                 self._broken = False
             await self._run(lambda: self._log.append(encoded))
         except OSError as error:
@@ -138,7 +142,7 @@
         A failure does not undo the write before it; the log is restarted before the next write.
         """
         try:
-            await self._run(lambda: self._log.compact(encode(self.image)))
+            await self._run(lambda: self._log.compact(encode(self.persisted)))
         except OSError:
             self._broken = True
 
@@ -156,7 +160,7 @@
         self._next_repair = self._clock() + REPAIR_INTERVAL_S
         async with self._lock:
             try:
-                await self._run(lambda: self._log.compact(encode(self.image)))
+                await self._run(lambda: self._log.compact(encode(self.persisted)))
                 self._broken = False
             except OSError:
                 return
--- a/arrowfold/replication/epochs.py
+++ b/arrowfold/replication/epochs.py
@@ -221,7 +221,7 @@
         return LATE_ANSWER_WAIT_S if record is not None else self._timings.bootstrap_wait_s
 
     def _known_addresses(self) -> list[str]:
-        record = self._member.image.record
+        record = self._member.persisted.record
         if record is not None:
             return [voter.address for voter in record.voters()]
         return list(self._seeds)
@@ -296,7 +296,7 @@
         self, epoch: int, promises: Promises
     ) -> Result[tuple[Position, ControlState], EpochFault]:
         """The newest state among the members that promised, and its position; fetched if not held here."""
-        own = self._member.image
+        own = self._member.persisted
         if promises.record is None:
             return Ok((Position(), ControlState()))
         source = max(_state_sources(promises), key=lambda answer: answer.position.key())
@@ -343,7 +343,7 @@
     async def _accept(self, record: EpochRecord, promises: Promises) -> Result[EpochRecord, EpochFault]:
         """Propose the record to all known members; returns it once a majority of each quorum accepted it."""
         addresses = {voter.member: voter.address for voter in record.voters()}
-        known = self._member.image.record
+        known = self._member.persisted.record
         for witness in known.witnesses if known is not None else ():
             addresses.setdefault(witness.member, witness.address)
         for member, answer in promises.granted.items():
--- a/arrowfold/replication/founding_anew.py
+++ b/arrowfold/replication/founding_anew.py
@@ -14,7 +14,7 @@
 from arrowfold.internal.codec import CodecError, decode, encode, message
 from arrowfold.internal.messages import MemberInfo
 from arrowfold.replication.identity import store_identity
-from arrowfold.replication.records import EpochRecord, MemberImage, Quorum
+from arrowfold.replication.records import EpochRecord, PersistedState, Quorum
 from arrowfold.replication.state import ControlState
 from arrowfold.storage.faults import DamagedStorage, StorageFault
 from arrowfold.storage.folders import Folder
@@ -36,10 +36,10 @@
     state: ControlState
 
 
-def export_state(member: str, image: MemberImage) -> bytes:
+def export_state(member: str, persisted: PersistedState) -> bytes:
     """Returns the content of an export file: a member's whole state with a checksum."""
-    epoch = max(image.promised, image.record.epoch if image.record is not None else 0)
-    return encode_frame(encode(ExportedState(EXPORT_VERSION, member, epoch, image.state)), 0)
+    epoch = max(persisted.promised, persisted.record.epoch if persisted.record is not None else 0)
+    return encode_frame(encode(ExportedState(EXPORT_VERSION, member, epoch, persisted.state)), 0)
 
 
 def read_export(data: bytes, name: str) -> Result[ExportedState, StorageFault]:
@@ -73,11 +73,11 @@
     )
 
 
-def bootstrap_state(exported: ExportedState, founder: MemberInfo) -> MemberImage:
+def bootstrap_state(exported: ExportedState, founder: MemberInfo) -> PersistedState:
     """The state of the first member of the new group, its only voter until others join."""
     epoch = exported.epoch + RECOVERY_OFFSET
     record = EpochRecord(epoch, founder.member, (founder.member,), (founder,), (Quorum((founder.member,)),))
-    return MemberImage(
+    return PersistedState(
         promised=epoch,
         promised_to=founder.member,
         record=record,
@@ -88,19 +88,19 @@
     )
 
 
-def found_anew(
+def bootstrap_from_export(
     folder: Folder, exported: ExportedState, founder: MemberInfo
-) -> Result[MemberImage, StorageFault]:
+) -> Result[PersistedState, StorageFault]:
     """Initialise an empty folder as the disk of the new group's first member; blocks.
 
     The identity is written last: a node that starts on a folder without identity sets its files aside.
     """
     if folder.names():
         return Err(StorageFault("the folder is not empty: move its files away, they may still be needed"))
-    image = bootstrap_state(exported, founder)
+    persisted = bootstrap_state(exported, founder)
     log = SegmentedLog(folder)
     log.recover()
-    log.compact(encode(image))
+    log.compact(encode(persisted))
     log.close()
     store_identity(folder, founder.member, False, ())
-    return Ok(image)
+    return Ok(persisted)
--- a/arrowfold/replication/member.py
+++ b/arrowfold/replication/member.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from arrowfold.internal.messages import MemberInfo
-from arrowfold.replication.durable import DurableImage
+from arrowfold.replication.durable import DurableState
 from arrowfold.replication.messages import (
     AcceptEpoch,
     AppendEntries,
@@ -30,7 +30,7 @@
 from arrowfold.replication.records import (
     EntriesAppended,
     LogRecord,
-    MemberImage,
+    PersistedState,
     PromiseStored,
     RecordAccepted,
     RecordConfirmed,
@@ -58,7 +58,7 @@
         self,
         info: MemberInfo,
         founder: bool,
-        durable: DurableImage,
+        durable: DurableState,
         clock: Clock,
         timings: Timings,
         log: EventLog,
@@ -72,7 +72,7 @@
         self._promising = 0  # epoch of a promise whose write is in progress
         # A lease may have been granted just before the last process ended, so it is assumed to be held.
         # Only the primary of the stored record can hold it: heartbeats of other epochs are not granted.
-        record = durable.image.record
+        record = durable.persisted.record
         self._lease_until = clock() + timings.lease_s if record is not None else 0.0
         self._lease_holder = record.primary if record is not None else ""
         self.last_promise_to_other_at = -math.inf
@@ -90,18 +90,18 @@
         self.on_change: Callable[[], None] = lambda: None
 
     @property
-    def image(self) -> MemberImage:
+    def persisted(self) -> PersistedState:
         """The persisted state of this member."""
-        return self.durable.image
+        return self.durable.persisted
 
     @property
     def highest_epoch(self) -> int:
         """The highest epoch that is promised, or whose promise is being written."""
-        return max(self.image.promised, self._promising)
+        return max(self.persisted.promised, self._promising)
 
     def is_witness(self) -> bool:
         """Whether the newest accepted record lists this member as a witness."""
-        record = self.image.record
+        record = self.persisted.record
         return record is not None and record.find(self.info.member) is not None
 
     def grant_lease(self, holder: str) -> None:
@@ -115,8 +115,8 @@
 
     def _refusal_reason(self, request: PrepareEpoch) -> str | None:
         """The reason for which a promise is refused, or None if it can be given."""
-        image = self.image
-        is_repeat = request.epoch == image.promised and request.candidate.member == image.promised_to
+        persisted = self.persisted
+        is_repeat = request.epoch == persisted.promised and request.candidate.member == persisted.promised_to
         if request.epoch <= self.highest_epoch and not is_repeat:
             return f"epoch {self.highest_epoch} is promised"
         if self.clock() < self._lease_until and self._lease_holder != request.candidate.member:
@@ -126,16 +126,16 @@
         return None
 
     def _prepare_answer(self, reason: str | None) -> PrepareAnswer:
-        image = self.image
+        persisted = self.persisted
         return PrepareAnswer(
             granted=reason is None,
             member=self.info,
             founder=self.founder,
             promised=self.highest_epoch,
-            record=image.record,
-            confirmed=image.confirmed,
-            state_epoch=image.state_epoch,
-            position=image.position,
+            record=persisted.record,
+            confirmed=persisted.confirmed,
+            state_epoch=persisted.state_epoch,
+            position=persisted.position,
             reason=reason or "",
         )
 
@@ -148,10 +148,12 @@
         if reason is not None or request.trial:
             return self._prepare_answer(reason)
 
-        def decide(image: MemberImage) -> Decision:
-            is_repeat = request.epoch == image.promised and request.candidate.member == image.promised_to
-            if request.epoch <= image.promised and not is_repeat:
-                return _refuse(f"epoch {image.promised} is promised")
+        def decide(persisted: PersistedState) -> Decision:
+            is_repeat = (
+                request.epoch == persisted.promised and request.candidate.member == persisted.promised_to
+            )
+            if request.epoch <= persisted.promised and not is_repeat:
+                return _refuse(f"epoch {persisted.promised} is promised")
             return Ok(PromiseStored(request.epoch, request.candidate.member))
 
         def on_failure() -> None:
@@ -166,12 +168,14 @@
 
     async def fetch(self, request: FetchState) -> StateImage:
         """Returns the stored state to the candidate of the promised epoch; raises StorageFault for others."""
-        image = self.image
-        if request.epoch != image.promised:
-            raise StorageFault(f"epoch {image.promised} is promised")
-        return StateImage(image.promised, image.state_epoch, image.position_epoch, image.state)
+        persisted = self.persisted
+        if request.epoch != persisted.promised:
+            raise StorageFault(f"epoch {persisted.promised} is promised")
+        return StateImage(
+            persisted.promised, persisted.state_epoch, persisted.position_epoch, persisted.state
+        )
 
-    async def _write_durably(self, decide: Callable[[MemberImage], Decision]) -> Verdict:
+    async def _write_durably(self, decide: Callable[[PersistedState], Decision]) -> Verdict:
         written = await self.durable.change(decide, self.timings.disk_s)
         if isinstance(written, Err):
             return Verdict(False, self.highest_epoch, str(written.err_value))
@@ -180,11 +184,11 @@
     async def install(self, request: InstallState) -> Verdict:
         """Store the initial state of the promised epoch."""
 
-        def decide(image: MemberImage) -> Decision:
-            if (image.promised, image.promised_to) != (request.epoch, request.candidate):
-                return _refuse(f"epoch {image.promised} is promised to {image.promised_to}")
-            if request.state is None and image.position != request.position:
-                return _refuse(f"the state here is at {image.position}")
+        def decide(persisted: PersistedState) -> Decision:
+            if (persisted.promised, persisted.promised_to) != (request.epoch, request.candidate):
+                return _refuse(f"epoch {persisted.promised} is promised to {persisted.promised_to}")
+            if request.state is None and persisted.position != request.position:
+                return _refuse(f"the state here is at {persisted.position}")
             return Ok(StateInstalled(request.epoch, request.position.epoch, request.state))
 
         return await self._write_durably(decide)
@@ -193,15 +197,15 @@
         """Accept the record of an epoch and grant its primary a lease."""
         record = request.record
 
-        def decide(image: MemberImage) -> Decision:
-            if record.epoch < max(image.promised, self._promising):
-                return _refuse(f"epoch {image.promised} is promised")
-            if record.epoch == image.promised and record.primary != image.promised_to:
-                return _refuse(f"epoch {image.promised} is promised to {image.promised_to}")
+        def decide(persisted: PersistedState) -> Decision:
+            if record.epoch < max(persisted.promised, self._promising):
+                return _refuse(f"epoch {persisted.promised} is promised")
+            if record.epoch == persisted.promised and record.primary != persisted.promised_to:
+                return _refuse(f"epoch {persisted.promised} is promised to {persisted.promised_to}")
             self.grant_lease(record.primary)  # before the write, so that no other promise is given meanwhile
             return Ok(RecordAccepted(record))
 
-        known = self.image.record
+        known = self.persisted.record
         if known is not None and known.epoch == record.epoch and self.highest_epoch == record.epoch:
             verdict = Verdict(True, self.highest_epoch)
         else:
@@ -218,12 +222,12 @@
         """Append the primary's entries to the log."""
         self._update_committed(request.epoch, request.committed)
 
-        def decide(image: MemberImage) -> Decision:
-            record = image.record
+        def decide(persisted: PersistedState) -> Decision:
+            record = persisted.record
             if record is None or record.epoch != request.epoch or self.highest_epoch != request.epoch:
                 return _refuse(f"epoch {self.highest_epoch} is promised")
-            if image.state_epoch != request.epoch or image.position != request.previous:
-                return _refuse(f"the state here is at {image.position}")
+            if persisted.state_epoch != request.epoch or persisted.position != request.previous:
+                return _refuse(f"the state here is at {persisted.position}")
             return Ok(EntriesAppended(request.epoch, request.entries))
 
         return await self._write_durably(decide)
@@ -231,9 +235,9 @@
     async def heartbeat(self, request: Heartbeat) -> HeartbeatAnswer:
         """Renew the primary's lease if its record is accepted here and no higher epoch is promised."""
         now = self.clock()
-        image = self.image
+        persisted = self.persisted
         is_primary = request.epoch >= self.highest_epoch and request.epoch != self._handed_over_epoch
-        granted = is_primary and image.record is not None and image.record.epoch == request.epoch
+        granted = is_primary and persisted.record is not None and persisted.record.epoch == request.epoch
         if is_primary:
             self.primary_seen_at = now
             self.has_received_heartbeat = True
@@ -249,9 +253,9 @@
             granted=granted,
             member=self.info,
             promised=self.highest_epoch,
-            record_epoch=image.record.epoch if image.record is not None else 0,
-            state_epoch=image.state_epoch,
-            sequence=image.state.sequence,
+            record_epoch=persisted.record.epoch if persisted.record is not None else 0,
+            state_epoch=persisted.state_epoch,
+            sequence=persisted.state.sequence,
             disk_healthy=self.durable.is_healthy(self.timings.disk_s),
             clock=now,
             confirmed_epoch=self.durable.confirmed_epoch,
@@ -264,14 +268,14 @@
 
     def _update_committed(self, epoch: int, committed: int) -> None:
         """Record the primary's committed sequence; publish the stored state if all of it is committed."""
-        image = self.image
-        if image.record is None or image.record.epoch != epoch or self.highest_epoch != epoch:
+        persisted = self.persisted
+        if persisted.record is None or persisted.record.epoch != epoch or self.highest_epoch != epoch:
             return
-        if not image.confirmed:
+        if not persisted.confirmed:
             self.durable.note(RecordConfirmed(epoch))
         self.known_committed = committed
-        if image.state_epoch == epoch and image.state.sequence == committed:
-            self.publish(image.state)
+        if persisted.state_epoch == epoch and persisted.state.sequence == committed:
+            self.publish(persisted.state)
 
     def publish(self, state: ControlState) -> None:
         """Make a committed state visible to readers; an older state never replaces a newer one."""
@@ -286,11 +290,11 @@
         was delayed in the network, or buffered while this process was paused, therefore does not make the
         state current.
         """
-        record = self.image.record
+        record = self.persisted.record
         return (
             record is not None
             and self.clock() < self._current_until
-            and self.image.state_epoch == record.epoch
+            and self.persisted.state_epoch == record.epoch
             and self.published.sequence == self.known_committed
         )
 
@@ -308,7 +312,7 @@
 
     def handle_departing(self, request: Departing) -> None:
         """Release the lease of a primary that hands over, so that an election can start at once."""
-        record = self.image.record
+        record = self.persisted.record
         if record is not None and request.was_primary and request.epoch == record.epoch:
             if self._lease_holder == request.member:
                 self._lease_until = 0.0
--- a/arrowfold/replication/primary.py
+++ b/arrowfold/replication/primary.py
@@ -62,7 +62,7 @@
         self._is_changing = False  # a change of epoch is in progress
         self._higher_promise = 0  # highest epoch above the own that a witness is known to have promised
         self._heartbeats: set[asyncio.Task[None]] = set()
-        self._committed = member.image.state.sequence
+        self._committed = member.persisted.state.sequence
         self._was_activated = False
         self.ended = False
         self.hands_over = False  # the term released its lease, so others need not wait for it to expire
@@ -77,7 +77,7 @@
 
     def has_lease(self) -> bool:
         """Whether no other primary can be active at this moment."""
-        if self.ended or self._member.image.promised_to != self._member.info.member:
+        if self.ended or self._member.persisted.promised_to != self._member.info.member:
             return False
         return self._clock() < self.lease_until()
 
@@ -179,8 +179,8 @@
 
     def _publish(self) -> None:
         """Publish the committed state on this member; backups learn its sequence by the next heartbeat."""
-        state = self._member.image.state
-        if not self._member.image.confirmed:
+        state = self._member.persisted.state
+        if not self._member.persisted.confirmed:
             self._member.durable.note(RecordConfirmed(self.record.epoch))
         if state.sequence == self._committed:
             self._member.primary_seen_at = self._clock()
@@ -304,7 +304,7 @@
             self._queue.fail_all()
 
     async def _commit_batch(self) -> None:
-        batch = self._queue.next_batch(self._member.image.state)
+        batch = self._queue.next_batch(self._member.persisted.state)
         committed = await self._commit(tuple(batch.entries)) if batch.entries else True
         if committed and self.is_active():
             batch.settle()
@@ -313,14 +313,14 @@
 
     async def _commit(self, entries: tuple[Entry, ...]) -> bool:
         """Store entries at every member of the group; members that fail to are excluded by a new epoch."""
-        request = AppendEntries(self.record.epoch, self._member.image.position, entries, self._committed)
+        request = AppendEntries(self.record.epoch, self._member.persisted.position, entries, self._committed)
         missing = await self._append_everywhere(request)
         if self._member.info.member in missing:
             self._end("the own disk did not store the entries", hand_over=True)
             return False
         if missing and not await self._exclude(missing):
             return False
-        self._committed = self._member.image.state.sequence
+        self._committed = self._member.persisted.state.sequence
         self._publish()
         self.send_heartbeats()
         return True
@@ -408,6 +408,6 @@
         self._newcomers = {
             member: entry for member, entry in self._newcomers.items() if record.find(member) is None
         }
-        self._committed = self._member.image.state.sequence
+        self._committed = self._member.persisted.state.sequence
         self._publish()
         self.send_heartbeats()
--- a/arrowfold/replication/records.py
+++ b/arrowfold/replication/records.py
@@ -92,7 +92,7 @@
 
 @message(49)
 @dataclass(frozen=True, slots=True)
-class MemberImage:
+class PersistedState:
     """The persisted state of a member.
 
     `promised` and `promised_to`: the highest epoch promised, and its candidate. `record` and `confirmed`: the
@@ -167,22 +167,22 @@
 LogRecord = PromiseStored | RecordAccepted | RecordConfirmed | StateInstalled | EntriesAppended
 
 
-def apply_record(image: MemberImage, record: LogRecord) -> MemberImage:
+def apply_record(persisted: PersistedState, record: LogRecord) -> PersistedState:
     """The member's state after one more log record."""
     if isinstance(record, PromiseStored):
-        return replace(image, promised=record.epoch, promised_to=record.candidate)
+        return replace(persisted, promised=record.epoch, promised_to=record.candidate)
     if isinstance(record, RecordAccepted):
         accepted = record.record
         return replace(
-            image, promised=accepted.epoch, promised_to=accepted.primary, record=accepted, confirmed=False
+            persisted, promised=accepted.epoch, promised_to=accepted.primary, record=accepted, confirmed=False
         )
     if isinstance(record, RecordConfirmed):
-        current = image.record is not None and image.record.epoch == record.epoch
-        return replace(image, confirmed=image.confirmed or current)
+        current = persisted.record is not None and persisted.record.epoch == record.epoch
+        return replace(persisted, confirmed=persisted.confirmed or current)
     if isinstance(record, StateInstalled):
-        state = image.state if record.state is None else record.state
-        return replace(image, state_epoch=record.epoch, position_epoch=record.position_epoch, state=state)
-    state = image.state
+        state = persisted.state if record.state is None else record.state
+        return replace(persisted, state_epoch=record.epoch, position_epoch=record.position_epoch, state=state)
+    state = persisted.state
     for entry in record.entries:
         state = apply_entry(state, entry)
-    return replace(image, position_epoch=record.epoch, state=state)
+    return replace(persisted, position_epoch=record.epoch, state=state)
--- a/arrowfold/replication/recovery.py
+++ b/arrowfold/replication/recovery.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from arrowfold.replication.durable import image_of
+from arrowfold.replication.durable import recover_member_state
 from arrowfold.replication.identity import SET_ASIDE_PREFIX, Identity, read_identity, store_identity
-from arrowfold.replication.records import MemberImage
+from arrowfold.replication.records import PersistedState
 from arrowfold.storage.faults import DamagedStorage
 from arrowfold.storage.folders import Folder
 from arrowfold.storage.log import SegmentedLog
@@ -18,7 +18,7 @@
 
     identity: Identity
     log: SegmentedLog
-    image: MemberImage
+    persisted: PersistedState
     damage: DamagedStorage | None = None
 
 
@@ -36,7 +36,7 @@
     if identity is None:
         identity = store_identity(folder, new.member, new.founder and damage is None, new.seeds)
     log = SegmentedLog(folder)
-    return OpenedStorage(identity, log, image_of(log.recover()), damage)
+    return OpenedStorage(identity, log, recover_member_state(log.recover()), damage)
 
 
 def _set_aside(folder: Folder) -> None:
--- a/arrowfold/replication/replica.py
+++ b/arrowfold/replication/replica.py
@@ -91,7 +91,7 @@
     @property
     def epoch(self) -> int:
         """The epoch of the newest record known."""
-        record = self._member.image.record
+        record = self._member.persisted.record
         return record.epoch if record is not None else 0
 
     @property
@@ -111,12 +111,12 @@
 
     def members(self) -> tuple[MemberInfo, ...]:
         """The witnesses of the newest record known."""
-        record = self._member.image.record
+        record = self._member.persisted.record
         return record.witnesses if record is not None else ()
 
     def primary(self) -> MemberInfo | None:
         """The primary of the newest record known, whether or not it is alive."""
-        record = self._member.image.record
+        record = self._member.persisted.record
         return record.find(record.primary) if record is not None else None
 
     def is_primary(self) -> bool:
@@ -148,7 +148,7 @@
             return 0.0
         return self._term.lease_until() if self._term is not None else self._member.authority_until()
 
-    def want_roles(
+    def set_required_roles(
         self,
         roles: Callable[[ControlState], tuple[str, ...]],
         companion: Callable[[str], str | None] = no_companion,
@@ -204,7 +204,7 @@
     async def _on_join(self, request: JoinRequest) -> JoinAnswer:
         if self._term is not None and not self._leaving_members.is_leaving(request.member.member):
             self._term.join(request.member)
-        return JoinAnswer(self._member.image.record)
+        return JoinAnswer(self._member.persisted.record)
 
     async def _on_introduction(self, request: Introduction) -> Acknowledgement:
         self._finder.note(request.record)
@@ -217,7 +217,7 @@
     async def _on_leave(self, request: LeaveRequest) -> LeaveAnswer:
         self._leaving_members.note(request.member)
         released = self._term is not None and self._term.leave(request.member.member)
-        return LeaveAnswer(released, self._finder.newest(self._member.image.record))
+        return LeaveAnswer(released, self._finder.newest(self._member.persisted.record))
 
     # Main loop
 
@@ -231,7 +231,7 @@
     async def _step(self) -> None:
         self._spawn(self._member.durable.repair())
         self._spawn(self._member.durable.flush())
-        self._finder.introduce(self._member.image.record)
+        self._finder.introduce(self._member.persisted.record)
         if self._term is not None:
             self._term.tick()
             if self._term.ended:
@@ -239,15 +239,15 @@
             elif self._term.is_active() and (self._role_grant_task is None or self._role_grant_task.done()):
                 self._role_grant_task = self._spawn(self._grant_next_role(self._term))
             return
-        record = self._finder.newest(self._member.image.record)
+        record = self._finder.newest(self._member.persisted.record)
         if self._stopping:
             return
         if record is None and self._may_bootstrap():
             await self._bootstrap_group()
         elif record is not None and record.find(self.member) is not None:
-            await self._stand_if_leaderless()
+            await self._elect_if_leaderless()
         else:
-            self._finder.ask_to_join(self._member.image.record)
+            self._finder.ask_to_join(self._member.persisted.record)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.create_task(work)
@@ -288,12 +288,12 @@
 
     # Election
 
-    async def _stand_if_leaderless(self) -> None:
+    async def _elect_if_leaderless(self) -> None:
         """Start an election if the primary has been silent for the election timeout.
 
         The timeout grows with the member's rank: first the group, then other witnesses, last the old primary.
         """
-        record = self._finder.newest(self._member.image.record)
+        record = self._finder.newest(self._member.persisted.record)
         assert record is not None
         order = [*record.group, *(name for name in record.witness_ids() if name not in record.group)]
         order = [name for name in order if name != record.primary] + [record.primary]
@@ -339,7 +339,7 @@
             "election.won",
             epoch=epoch,
             group=len(result.ok_value.group),
-            sequence=self._member.image.state.sequence,
+            sequence=self._member.persisted.state.sequence,
         )
         self._lead(result.ok_value)
 
@@ -371,7 +371,7 @@
 
     async def _hand_over(self) -> None:
         """Notify all witnesses, this one included, that the lease is released before it expires."""
-        record = self._member.image.record
+        record = self._member.persisted.record
         if record is None:
             return
         notice = Departing(record.epoch, self.member, was_primary=True)
@@ -382,7 +382,7 @@
         """Keep voting until the primary releases this member, all others leave too, or the timeout ends."""
         deadline = self._clock() + self._leave_timeout_s
         while self._clock() < deadline:
-            record = self._finder.newest(self._member.image.record)
+            record = self._finder.newest(self._member.persisted.record)
             if record is None:
                 return False
             # Sent before checking whether all others leave: once stopped, this member can't notify them.
--- a/arrowfold/replication/roles.py
+++ b/arrowfold/replication/roles.py
@@ -2,7 +2,7 @@
 
 A role's tenure (holder and fencing token) is part of the replicated state. To act, a holder also needs
 *authority*, a lease that the primary's heartbeats extend. The primary reassigns a role only after the old
-holder's authority has expired, and the new holder waits in addition (`hand_over_wait_s`).
+holder's authority has expired, and the new holder waits in addition (`handover_wait_s`).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from arrowfold.replication.proposals import Proposal, ReplicaPort
 from arrowfold.replication.state import ControlState, RoleGrant
 
-HANDOVER_MARGIN_S = 0.1  # added to `hand_over_wait_s` before a new holder acts
+HANDOVER_MARGIN_S = 0.1  # added to `handover_wait_s` before a new holder acts
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
         """Whether workers reject a fencing token lower than the highest one they have received."""
 
 
-def hand_over_wait_s(bounds: HandoverBounds, arrival_s: float) -> float:
+def handover_wait_s(bounds: HandoverBounds, arrival_s: float) -> float:
     """Seconds that a new holder of a role waits after its predecessor's authority has expired.
 
     `arrival_s`: the maximum time that an order of the predecessor may still be in transit. If workers check
--- a/arrowfold/routing/core.py
+++ b/arrowfold/routing/core.py
@@ -18,7 +18,7 @@
 
 from arrowfold import interface as api
 from arrowfold.choice import Dispatcher
-from arrowfold.membership.part import Part
+from arrowfold.membership.part import WorkerSubset
 from arrowfold.routes.rules import Router, Subject
 from arrowfold.routing.session import (
     Answer,
@@ -66,7 +66,7 @@
         self.most_sessions = most_sessions
         self.module = Dispatcher(settings, seed, counters)
         self.table = ServerTable()
-        self.part = Part(settings.zone, settings.number, self.table.is_unshared)
+        self.part = WorkerSubset(settings.zone, settings.number, self.table.is_unshared)
         self.sessions: dict[str, Session] = {}
         self.owed = 0  # sessions without a final answer
         self._inbox: deque[tuple[Session, object]] = deque()
--- a/benchmarks/capacity/module.py
+++ b/benchmarks/capacity/module.py
@@ -20,7 +20,7 @@
 
 from arrowfold import interface as api
 from arrowfold.choice import Dispatcher
-from arrowfold.membership.part import Part
+from arrowfold.membership.part import WorkerSubset
 from arrowfold.simhost import build_settings
 
 SECOND, MS = 1_000_000, 1_000
@@ -56,7 +56,7 @@
 
     def __post_init__(self) -> None:
         self.module = Dispatcher(self.settings, self.seed, self.counts)
-        self.part = Part(self.settings.zone, self.settings.number) if self.parted else None
+        self.part = WorkerSubset(self.settings.zone, self.settings.number) if self.parted else None
         self.events: list[tuple[int, int, api.Event]] = []
         self.sequence = 0
         self.dice = Random(self.seed)
--- a/benchmarks/capacity/peak.py
+++ b/benchmarks/capacity/peak.py
@@ -14,7 +14,7 @@
 
 from arrowfold import interface as api
 from arrowfold.choice import Dispatcher
-from arrowfold.membership.part import Part
+from arrowfold.membership.part import WorkerSubset
 from benchmarks.capacity.module import ZONES, shipped
 from benchmarks.capacity.results import Figures
 from benchmarks.fleet.servers import MS, SECOND, Run
@@ -39,7 +39,7 @@
 
     def __init__(self, settings: api.Settings, seed: int, world: World) -> None:
         self.module = Dispatcher(settings, seed, world.counted)
-        self.part = Part(settings.zone, settings.number)
+        self.part = WorkerSubset(settings.zone, settings.number)
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         return self.module.handle(now_us, [
--- a/benchmarks/capacity/system/failover.py
+++ b/benchmarks/capacity/system/failover.py
@@ -11,7 +11,7 @@
 from result import Ok
 
 from arrowfold.internal.messages import MemberInfo
-from arrowfold.replication.durable import DurableImage, image_of
+from arrowfold.replication.durable import DurableState, recover_member_state
 from arrowfold.replication.identity import store_identity
 from arrowfold.replication.member import GroupMember
 from arrowfold.replication.proposals import Proposal
@@ -71,9 +71,9 @@
         folder = MemoryFolder()
         identity = store_identity(folder, member_name(number + 1), True, seeds)
         log = SegmentedLog(folder)
-        image = DurableImage(log, TimedDiskWorker(SYNC_S), clock, image_of(log.recover()))
+        persisted = DurableState(log, TimedDiskWorker(SYNC_S), clock, recover_member_state(log.recover()))
         info = MemberInfo(identity.member, f"core-{number}", address, address, zone_name(number))
-        member = GroupMember(info, True, image, clock, Timings(), SilentLog())
+        member = GroupMember(info, True, persisted, clock, Timings(), SilentLog())
         caller = NetworkCaller(self.network, address)
         draw = random.Random(self._draw.random())
         replica = Replica(member, caller, seeds, self._losses, SilentLog(), draw)
@@ -85,7 +85,7 @@
         primary = self.primary()
         if primary is None:
             return False
-        record = self.replicas[primary].group_member.image.record
+        record = self.replicas[primary].group_member.persisted.record
         return record is not None and len(record.group) == len(self.addresses)
 
     def primary(self) -> str | None:
--- a/benchmarks/control_model/actions.py
+++ b/benchmarks/control_model/actions.py
@@ -67,7 +67,7 @@
 
 
 def _stand(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
-    """`Replica._stand_if_leaderless`: a witness asks itself first."""
+    """`Replica._elect_if_leaderless`: a witness asks itself first."""
     member = state.members[number]
     if state.attempts[number] is not None or state.terms[number] is not None or member.leaving:
         return
@@ -143,7 +143,7 @@
 
 
 def superseding(attempt: Attempt, bounds: Bounds) -> tuple[Members, ...] | None:
-    """`EpochChange._found`: the quorums that promised enough, or None."""
+    """`EpochChange._evaluate_promises`: the quorums that promised enough, or None."""
     record = _newest(attempt)
     assert record is not None
     confirmed = any(
@@ -155,8 +155,8 @@
     return quorums if has_majorities(quorums, votes) else None
 
 
-def _sources(attempt: Attempt, record: Record, bounds: Bounds) -> list[tuple[int, tuple[int, ...]]]:
-    """`epochs._sources`: members of the newest record's group that hold its starting state."""
+def _state_sources(attempt: Attempt, record: Record, bounds: Bounds) -> list[tuple[int, tuple[int, ...]]]:
+    """`epochs._state_sources`: members of the newest record's group that hold its starting state."""
     if bounds.planted == "state from anyone":
         return [(number, log) for number, _, _, _, log in attempt.answers]
     return [
@@ -185,7 +185,7 @@
             return
         group, witnesses = attempt.wanted[0] & granted, attempt.wanted[1]
     copies = bounds.copies(len(witnesses)) if bounds.planted != "one copy is enough" else 1
-    sources = _sources(attempt, record, bounds)
+    sources = _state_sources(attempt, record, bounds)
     if candidate not in group or len(group) < copies or not sources:
         return
     choose = min if bounds.planted == "state from anyone" else max
--- a/benchmarks/guards/catalogue.py
+++ b/benchmarks/guards/catalogue.py
@@ -37,7 +37,7 @@
     ("a backup is current at a position", "and self.published.sequence == self.known_committed", "and True"),
     (
         "a backup is current in an epoch",
-        "            and self.image.state_epoch == record.epoch\n            and self.published",
+        "            and self.persisted.state_epoch == record.epoch\n            and self.published",
         "            and self.published",
     ),
     (
@@ -69,7 +69,7 @@
     ),
     (
         "a promise is checked again before it is written",
-        "if request.epoch <= image.promised and not is_repeat:",
+        "if request.epoch <= persisted.promised and not is_repeat:",
         "if False:",
     ),
     (
@@ -82,25 +82,25 @@
         'if not self.durable.is_healthy(self.timings.disk_s):\n            return "the disk',
         'if False:\n            return "the disk',
     ),
-    ("a state is handed to the promised epoch only", "if request.epoch != image.promised:", "if False:"),
+    ("a state is handed to the promised epoch only", "if request.epoch != persisted.promised:", "if False:"),
     (
         "a state is installed for the promised epoch only",
-        "if (image.promised, image.promised_to) != (request.epoch, request.candidate):",
+        "if (persisted.promised, persisted.promised_to) != (request.epoch, request.candidate):",
         "if False:",
     ),
     (
         "a state counts as held at its position only",
-        "if request.state is None and image.position != request.position:",
+        "if request.state is None and persisted.position != request.position:",
         "if False:",
     ),
     (
         "a record below a promise is refused",
-        "if record.epoch < max(image.promised, self._promising):",
+        "if record.epoch < max(persisted.promised, self._promising):",
         "if False:",
     ),
     (
         "a record of another candidate is refused",
-        "if record.epoch == image.promised and record.primary != image.promised_to:",
+        "if record.epoch == persisted.promised and record.primary != persisted.promised_to:",
         "if False:",
     ),
     (
@@ -110,7 +110,7 @@
     ),
     (
         "entries follow on the state held",
-        "if image.state_epoch != request.epoch or image.position != request.previous:",
+        "if persisted.state_epoch != request.epoch or persisted.position != request.previous:",
         "if False:",
     ),
     (
@@ -120,8 +120,8 @@
     ),
     (
         "a heartbeat is granted for the record's epoch only",
-        "granted = is_primary and image.record is not None and image.record.epoch == request.epoch",
-        "granted = is_primary and image.record is not None",
+        "granted = is_primary and persisted.record is not None and persisted.record.epoch == request.epoch",
+        "granted = is_primary and persisted.record is not None",
     ),
     ("what is published never goes back", "if state.sequence > self.published.sequence:", "if True:"),
 )
@@ -131,7 +131,7 @@
     "replication/primary.py",
     (
         "a primary that promised another is none",
-        "if self.ended or self._member.image.promised_to != self._member.info.member:",
+        "if self.ended or self._member.persisted.promised_to != self._member.info.member:",
         "if self.ended:",
     ),
     (
--- a/tests/system/control_simulation/machines.py
+++ b/tests/system/control_simulation/machines.py
@@ -20,7 +20,7 @@
     SubmitResult,
 )
 from arrowfold.registry.workers import WorkerRegistry
-from arrowfold.replication.durable import COMPACT_BYTES, DurableImage
+from arrowfold.replication.durable import COMPACT_BYTES, DurableState
 from arrowfold.replication.member import GroupMember
 from arrowfold.replication.messages import InstallState, PrepareEpoch
 from arrowfold.replication.recovery import NewIdentity, open_storage
@@ -180,7 +180,7 @@
         self.replica = replica
         self.on_started(replica)
         authority = RoleAuthority(replica, self.clock, replica.authority_until, self.hand_over_s)
-        replica.want_roles(lambda _state: self.roles)
+        replica.set_required_roles(lambda _state: self.roles)
         replica.add_listener(authority.observe)
         self._acting = Repeating(ACT_INTERVAL_S, lambda: self._act(authority))
         await replica.run()
@@ -192,7 +192,7 @@
         if opened.damage is not None:
             self._trace.add(self.name, "damaged", reason=str(opened.damage))
             self.on_damage(str(opened.damage))
-        durable = DurableImage(opened.log, worker, self.clock, opened.image)
+        durable = DurableState(opened.log, worker, self.clock, opened.persisted)
         durable.compact_bytes = self.compact_bytes
         info = MemberInfo(identity.member, self.name, self.address, self.address, "zone")
         events = TraceLog(self._trace, self.name)
@@ -218,7 +218,7 @@
         return self.first_start
 
     def make_member(
-        self, info: MemberInfo, founder: bool, durable: DurableImage, events: TraceLog
+        self, info: MemberInfo, founder: bool, durable: DurableState, events: TraceLog
     ) -> GroupMember:
         """Create the member; planted faults override this."""
         return GroupMember(info, founder, durable, self.clock, self.timings, events)
--- a/tests/system/control_simulation/planted.py
+++ b/tests/system/control_simulation/planted.py
@@ -19,7 +19,7 @@
 from arrowfold.internal.messages import ConfigurationDelta, ConfigurationUpdate
 from arrowfold.replication import epochs, roles, state
 from arrowfold.replication.batches import Batch
-from arrowfold.replication.durable import DurableImage
+from arrowfold.replication.durable import DurableState
 from arrowfold.replication.epochs import Promises
 from arrowfold.replication.member import GroupMember
 from arrowfold.replication.messages import PrepareAnswer, PrepareEpoch, Verdict
@@ -68,8 +68,8 @@
     async def prepare(self: GroupMember, request: PrepareEpoch) -> PrepareAnswer:
         reason = self._refusal_reason(request)
         if reason is None and not request.trial:
-            self.durable.image = replace(
-                self.durable.image, promised=request.epoch, promised_to=request.candidate.member
+            self.durable.persisted = replace(
+                self.durable.persisted, promised=request.epoch, promised_to=request.candidate.member
             )
         return self._prepare_answer(reason)
 
@@ -78,14 +78,14 @@
 
 def _volatile_append() -> AbstractContextManager[Any]:
     """A backup acknowledges an append that it keeps only in memory."""
-    original = DurableImage._write
+    original = DurableState._write
 
-    async def write(self: DurableImage, records: Any) -> Any:
+    async def write(self: DurableState, records: Any) -> Any:
         if any(isinstance(record, EntriesAppended) for record in records):
             return Ok(None)
         return await original(self, records)
 
-    return patch.object(DurableImage, "_write", write)
+    return patch.object(DurableState, "_write", write)
 
 
 def _one_volatile_member() -> AbstractContextManager[Any]:
@@ -93,7 +93,7 @@
     original = Machine.make_member
 
     def make_member(
-        self: Machine, info: Any, founder: bool, durable: DurableImage, events: Any
+        self: Machine, info: Any, founder: bool, durable: DurableState, events: Any
     ) -> GroupMember:
         write = durable._write
 
@@ -133,8 +133,8 @@
     """A member claims to have stored the initial state although it did not."""
 
     async def install(self: GroupMember, request: Any) -> Verdict:
-        image = self.durable.image
-        self.durable.image = replace(image, state_epoch=request.epoch)
+        persisted = self.durable.persisted
+        self.durable.persisted = replace(persisted, state_epoch=request.epoch)
         return Verdict(True, self.highest_epoch)
 
     return patch.object(GroupMember, "install", install)
@@ -177,7 +177,7 @@
     async def append(self: GroupMember, request: Any) -> Verdict:
         verdict = await original(self, request)
         if verdict.done:
-            self.publish(self.image.state)
+            self.publish(self.persisted.state)
         return verdict
 
     return patch.object(GroupMember, "append", append)
@@ -187,7 +187,9 @@
     """A backup accepts entries of a superseded primary."""
 
     async def append(self: GroupMember, request: Any) -> Verdict:
-        return await self._write_durably(lambda image: Ok(EntriesAppended(request.epoch, request.entries)))
+        return await self._write_durably(
+            lambda persisted: Ok(EntriesAppended(request.epoch, request.entries))
+        )
 
     return patch.object(GroupMember, "append", append)
 
@@ -196,10 +198,10 @@
     """A control node counts as current regardless of the age of the primary's last confirmation."""
 
     def is_current(self: GroupMember) -> bool:
-        record = self.image.record
+        record = self.persisted.record
         return (
             record is not None
-            and self.image.state_epoch == record.epoch
+            and self.persisted.state_epoch == record.epoch
             and self.published.sequence == self.known_committed
         )
 
--- a/tests/system/control_simulation/schedules.py
+++ b/tests/system/control_simulation/schedules.py
@@ -74,7 +74,7 @@
         """Run the schedule; a violation is reported in the outcome."""
         try:
             await self._play()
-            self.world.require_sound()
+            self.world.raise_violations()
         except Violation as violation:
             self.outcome.violation = str(violation)
         history = self.world.history
--- a/tests/system/control_simulation/world.py
+++ b/tests/system/control_simulation/world.py
@@ -251,7 +251,7 @@
         state = primary.replica.committed
         self.check(lambda: self.history.check_end(state))
 
-    def require_sound(self) -> None:
+    def raise_violations(self) -> None:
         """Fail if any check found a violation."""
         if self.violations:
             raise Violation("; ".join(self.violations[:3]) + "\n" + "\n".join(self.trace.lines[-60:]))
--- a/tests/system/test_control_confirmation.py
+++ b/tests/system/test_control_confirmation.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from arrowfold.replication.durable import image_of
+from arrowfold.replication.durable import recover_member_state
 from arrowfold.storage.log import SegmentedLog
 from tests.system.control_simulation.machines import Machine
 from tests.system.control_simulation.world import World, run_world
@@ -43,7 +43,7 @@
     # Then each of the others has stored that the record is chosen
     for machine in world.machines.values():
         if machine is not excluded:
-            assert image_of(SegmentedLog(machine.folder).recover()).confirmed, machine.name
+            assert recover_member_state(SegmentedLog(machine.folder).recover()).confirmed, machine.name
 
 
 def test_given_a_chosen_record_and_no_entries_after_it_then_it_is_confirmed_after_a_power_loss() -> None:
--- a/tests/system/test_control_currency.py
+++ b/tests/system/test_control_currency.py
@@ -80,7 +80,7 @@
     await world.until(world.is_whole, 8.0, "the backup in the group again")
     await asyncio.sleep(1.0)
     assert backup.replica is not None and backup.replica.is_current()
-    world.require_sound()
+    world.raise_violations()
 
 
 @pytest.mark.parametrize("kind", ["cut off", "frozen", "cut off, and its disk is full"])
@@ -124,18 +124,18 @@
         if machine is not backup:
             machine.kill()
     # When another member starts an epoch, and the backup stores the initial state and accepts the record
-    record = member.image.record
+    record = member.persisted.record
     assert record is not None
     third = next(info for info in record.witnesses if info.member not in (record.primary, member.info.member))
     await world.until(lambda: _can_promise(member), 2.0, "the expiry of the primary's lease")
     epoch = record.epoch + 1
     assert (await member.prepare(PrepareEpoch(epoch, third))).granted
-    assert (await member.install(InstallState(epoch, third.member, member.image.position, None))).done
+    assert (await member.install(InstallState(epoch, third.member, member.persisted.position, None))).done
     member._current_until = member.clock() + 1.0  # as if a heartbeat had just arrived
     assert (await member.accept(AcceptEpoch(replace(record, epoch=epoch, primary=third.member)))).done
     # Then it is not current until that epoch's primary has sent its committed sequence
     assert not member.is_current()
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_an_accepted_record_and_no_heartbeat_of_its_primary_then_a_backup_is_not_current() -> None:
--- a/tests/system/test_control_failures.py
+++ b/tests/system/test_control_failures.py
@@ -62,7 +62,7 @@
     await world.settle()
     await world.until(world.is_whole, 6.0, "the old primary in the group again")
     assert await _timed_change(world, 2, 3) < 1.0
-    world.require_sound()
+    world.raise_violations()
 
 
 @pytest.mark.parametrize("kind", ["kill", "power", "wipe", "freeze", "cut", "cut one way", "hang", "full"])
@@ -80,7 +80,7 @@
     assert len(primary.replica.term.record.group) == 2
     await world.settle()
     await world.until(world.is_whole, 6.0, "the backup in the group again")
-    world.require_sound()
+    world.raise_violations()
 
 
 @pytest.mark.parametrize("kind", ["hang", "kill", "freeze"])
@@ -103,7 +103,7 @@
         elif isinstance(answer, SubmitResult):
             assert answer.status == 503 or answer is change
     await world.settle()
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_a_frozen_primary_that_thaws_then_it_returns_nothing_stale() -> None:
@@ -137,7 +137,7 @@
         await world.until_primary(4.0)
         assert await change == 2
         await world.settle()
-        world.require_sound()
+        world.raise_violations()
         for machine in world.machines.values():
             machine.kill()
 
@@ -164,7 +164,7 @@
         world.start_all()
         await world.settle()
         assert await world.change(2, 3, 9.0) == 3
-        world.require_sound()
+        world.raise_violations()
         for machine in world.machines.values():
             machine.kill()
 
@@ -187,7 +187,7 @@
     # And the group tolerates the loss of the last of the first three
     world.machines["core3"].kill()
     assert await world.change(2, 3, 9.0) == 3
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_two_replacements_in_a_row_then_the_group_tolerates_another_loss() -> None:
@@ -205,7 +205,7 @@
     await world.until(world.is_whole, 6.0, "everyone in the group")
     # Then it rejoins as an ordinary member
     assert await world.change(1, 2, 9.0) == 2
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_a_replaced_primary_that_thaws_then_it_rejoins() -> None:
@@ -248,7 +248,7 @@
     assert world.primary() is primary
     assert primary.replica is not None and primary.replica.epoch <= epoch + 2
     assert await world.change(1, 2, 9.0) == 2
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_a_backup_that_receives_nothing_then_the_primary_is_not_replaced() -> None:
@@ -271,7 +271,7 @@
     # Then it joins
     await world.until(world.is_whole, 4.0, "the newcomer in the group")
     assert await world.change(1, 2, 9.0) == 2
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_seeds_that_list_only_a_removed_node_then_the_group_finds_the_new_one() -> None:
@@ -290,7 +290,7 @@
     assert await world.until(lambda: world.primary() is not None, 3.0, "a primary") < 0.5
     assert await world.change(1, 2, 9.0) == 2
     await world.settle()
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_all_processes_killed_then_the_last_primary_is_elected_again_at_once() -> None:
@@ -307,7 +307,7 @@
     assert world.primary() is primary
     assert await world.change(1, 2, 9.0) == 2
     watching.cancel()
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_a_primary_that_restarts_within_its_lease_then_it_is_primary_of_a_new_epoch() -> None:
@@ -330,8 +330,10 @@
 
     def has_unconfirmed_record(machine: Machine) -> bool:
         assert machine.replica is not None
-        image = machine.replica.group_member.image
-        return image.record is not None and len(image.record.witnesses) == 3 and not image.confirmed
+        persisted = machine.replica.group_member.persisted
+        return (
+            persisted.record is not None and len(persisted.record.witnesses) == 3 and not persisted.confirmed
+        )
 
     # When the others have accepted the record without it, and only the primary knows that it is chosen
     while not all(has_unconfirmed_record(machine) for machine in rest):
@@ -345,7 +347,7 @@
     # Then the removed witness's promise is requested, and the group continues
     assert await world.change(1, 2, 9.0) == 2
     await world.settle()
-    world.require_sound()
+    world.raise_violations()
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/system/test_control_found_anew.py
+++ b/tests/system/test_control_found_anew.py
@@ -13,9 +13,14 @@
 from arrowfold.dataplane.tables import FleetTables
 from arrowfold.internal.codec import encode
 from arrowfold.internal.messages import STATE_ORIGIN, MemberInfo, PullResponse
-from arrowfold.replication.durable import image_of
-from arrowfold.replication.founding_anew import RECOVERY_OFFSET, export_state, found_anew, read_export
-from arrowfold.replication.records import EntriesAppended, MemberImage, PromiseStored
+from arrowfold.replication.durable import recover_member_state
+from arrowfold.replication.founding_anew import (
+    RECOVERY_OFFSET,
+    bootstrap_from_export,
+    export_state,
+    read_export,
+)
+from arrowfold.replication.records import EntriesAppended, PersistedState, PromiseStored
 from arrowfold.replication.recovery import NewIdentity, open_storage
 from arrowfold.replication.state import (
     ConfigurationStep,
@@ -47,12 +52,14 @@
         machine.start()
     assert await world.change(2, 3, 6.0) is None
     # When the survivor's state is used to bootstrap a group on another node's empty disk
-    exported = read_export(export_state("m", image_of(read_log(survivor.folder))), "export").unwrap()
+    exported = read_export(
+        export_state("m", recover_member_state(read_log(survivor.folder))), "export"
+    ).unwrap()
     founder = lost[0]
     founder.kill()
     founder.folder = SimulatedFolder()
     info = MemberInfo("founder", founder.name, founder.address, founder.address, "zone")
-    assert found_anew(founder.folder, exported, info).is_ok()
+    assert bootstrap_from_export(founder.folder, exported, info).is_ok()
     founder.start()
     # Then that node becomes primary, and the other wiped node and the survivor join its group
     await world.until(world.is_whole, 15.0, "everyone in the new group")
@@ -62,37 +69,37 @@
     assert state.configuration is not None and describe(state.configuration)[0] >= 2
     assert "i-1" in state.departures
     assert await world.change(describe(state.configuration)[0], 9, 9.0) == 9
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_too_many_lost_disks_then_a_new_group_is_bootstrapped_and_everyone_joins_it() -> None:
     run_world(_two_of_three_disks_lost())
 
 
-def _image() -> MemberImage:
+def _image() -> PersistedState:
     step = ConfigurationStep(7, b"digest", document(7, "seven"))
     state = ControlState()
     for entry in (step, DepartureNotice("i-1", "draining"), RoleGrant("placement/s", "m1")):
         state = apply_entry(state, entry)
-    return MemberImage(promised=4, promised_to="m1", state=state)
+    return PersistedState(promised=4, promised_to="m1", state=state)
 
 
-def _bootstrapped() -> MemberImage:
+def _bootstrapped() -> PersistedState:
     folder = SimulatedFolder()
     exported = read_export(export_state("m1", _image()), "f").unwrap()
-    return found_anew(folder, exported, MemberInfo("m9", "n", "a:1", "a:2", "z")).unwrap()
+    return bootstrap_from_export(folder, exported, MemberInfo("m9", "n", "a:1", "a:2", "z")).unwrap()
 
 
 def test_epochs_positions_and_tokens_are_above_those_of_the_lost_group() -> None:
-    image = _bootstrapped()
+    persisted = _bootstrapped()
     assert (
-        image.promised >= 4 + RECOVERY_OFFSET
-        and image.record is not None
-        and image.record.epoch == image.promised
+        persisted.promised >= 4 + RECOVERY_OFFSET
+        and persisted.record is not None
+        and persisted.record.epoch == persisted.promised
     )
-    assert image.state.sequence >= 3 + RECOVERY_OFFSET
-    assert image.state.last_token >= 1 + RECOVERY_OFFSET
-    assert image.state.roles["placement/s"].token == 1  # the next grant gets a higher token
+    assert persisted.state.sequence >= 3 + RECOVERY_OFFSET
+    assert persisted.state.last_token >= 1 + RECOVERY_OFFSET
+    assert persisted.state.roles["placement/s"].token == 1  # the next grant gets a higher token
 
 
 def test_an_edge_that_is_ahead_of_the_export_accepts_the_new_group_s_state() -> None:
@@ -155,8 +162,8 @@
     assert not (tmp_path / "new").exists()
     # With the flag: the folder becomes that of a new group's first member
     assert arrowfold([*command, "--accept-loss"]) == 0
-    image = image_of(read_log(OsFolder(tmp_path / "new")))
-    assert image.state.configuration_version == 7 and image.confirmed
+    persisted = recover_member_state(read_log(OsFolder(tmp_path / "new")))
+    assert persisted.state.configuration_version == 7 and persisted.confirmed
     # And never in a folder that is not empty
     assert arrowfold([*command, "--accept-loss"]) == 2
     assert "not empty" in capsys.readouterr().err
@@ -182,4 +189,4 @@
     # When the node starts
     opened = open_storage(folder, NewIdentity("m5", False, ()))
     # Then its content is set aside
-    assert opened.damage is not None and opened.image == MemberImage()
+    assert opened.damage is not None and opened.persisted == PersistedState()
--- a/tests/system/test_control_founding.py
+++ b/tests/system/test_control_founding.py
@@ -21,7 +21,7 @@
     # And the late one joins
     world.machines["core2"].start()
     await world.until(world.is_whole, 3.0, "the late seed in the group")
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_a_late_seed_then_two_bootstrap_the_group_and_it_joins() -> None:
@@ -73,7 +73,7 @@
     await world.until(world.is_whole, 4.0, "the third machine in the group")
     assert len({machine.replica.epoch for machine in world.machines.values() if machine.replica}) == 1
     await world.settle()
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_a_seed_cut_off_then_it_joins_the_only_group() -> None:
@@ -98,7 +98,7 @@
         await world.until_primary(8.0)
         # Then the group forms, and a change is acknowledged
         assert await world.change(0, 1, 9.0) == 1
-        world.require_sound()
+        world.raise_violations()
         for machine in world.machines.values():
             machine.kill()
 
@@ -128,7 +128,7 @@
     assert await early == 1
     primary = await world.until_primary(8.0)
     assert primary.replica is not None and len(primary.replica.members()) == 5
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_two_tolerated_losses_then_nothing_is_acknowledged_by_three_of_five_members() -> None:
--- a/tests/system/test_control_hand_over.py
+++ b/tests/system/test_control_hand_over.py
@@ -7,7 +7,7 @@
 import pytest
 
 from arrowfold.node.settings import Bounds
-from arrowfold.replication.roles import hand_over_wait_s
+from arrowfold.replication.roles import handover_wait_s
 from tests.system.control_simulation.world import World, run_world
 
 ARRIVAL_S = 0.25
@@ -28,7 +28,7 @@
     lease_ms: float, contact_ms: float, fencing_checked: bool, expected_s: float
 ) -> None:
     bounds = Bounds(leaseMs=lease_ms, contactMs=contact_ms, fencingChecked=fencing_checked)
-    assert hand_over_wait_s(bounds, ARRIVAL_S) == pytest.approx(expected_s)
+    assert handover_wait_s(bounds, ARRIVAL_S) == pytest.approx(expected_s)
 
 
 async def _holder_fails(kind: str) -> None:
@@ -38,7 +38,7 @@
         0.0  # no minimum time while the control plane is unstable; tokens are always checked
     )
     for machine in world.machines.values():
-        machine.hand_over_s = hand_over_wait_s(Bounds(fencingChecked=True), ARRIVAL_S)
+        machine.hand_over_s = handover_wait_s(Bounds(fencingChecked=True), ARRIVAL_S)
     world.start_all()
     await world.until(world.is_whole, 9.0, "a whole group")
     await asyncio.sleep(1.0)
@@ -54,7 +54,7 @@
     await asyncio.sleep(FAILURE_S - SOON_S)
     await world.settle()
     await asyncio.sleep(1.0)
-    world.require_sound()
+    world.raise_violations()
 
 
 @pytest.mark.parametrize("kind", ["freeze", "power"])
--- a/tests/system/test_control_leaving.py
+++ b/tests/system/test_control_leaving.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from arrowfold.replication.durable import DurableImage
+from arrowfold.replication.durable import DurableState
 from tests.system.control_simulation.machines import Machine
 from tests.system.control_simulation.world import World, run_world
 
@@ -61,7 +61,7 @@
     world.machines.pop(leaving.name, None)
     await world.until(world.is_whole, 8.0, "the nodes with lost disks in the group again")
     assert await world.change(3, 4, CHANGE_TIMEOUT_S) == 4
-    world.require_sound()
+    world.raise_violations()
 
 
 @pytest.mark.parametrize("lingers_s", [0.0, LINGER_S])
@@ -124,7 +124,7 @@
     assert await world.change(1, 2, 1.0, avoiding=leaving) == 2
     leaving.start()
     await world.until(world.is_whole, 6.0, "everyone in the group again")
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_a_restart_of_one_of_three_then_no_voter_is_removed() -> None:
@@ -147,7 +147,7 @@
     (first if first.released else second).start()
     await asyncio.gather(*ended)
     assert first.released and second.released
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_two_stopped_at_once_then_they_are_released_one_after_the_other() -> None:
@@ -168,7 +168,7 @@
     await world.until_primary(6.0)
     await world.settle()
     assert await world.change(1, 2, 9.0) == 2
-    world.require_sound()
+    world.raise_violations()
 
 
 def test_given_a_stop_of_everyone_then_all_end_soon_and_nothing_is_lost() -> None:
@@ -199,7 +199,7 @@
     # And another loss is tolerated
     next(machine for machine in world.machines.values() if machine is not primary).wipe()
     assert await world.change(3, 4, CHANGE_TIMEOUT_S) == 4
-    world.require_sound()
+    world.raise_violations()
 
 
 @pytest.mark.parametrize("kind", ["killed", "frozen", "cut off"])
@@ -231,8 +231,8 @@
 
 
 def test_given_an_unconfirmed_record_on_the_disks_then_the_member_is_not_released() -> None:
-    async def nothing(_: DurableImage) -> None:
+    async def nothing(_: DurableState) -> None:
         return None
 
-    with patch.object(DurableImage, "flush", nothing):
+    with patch.object(DurableState, "flush", nothing):
         run_world(_never_flushed())
--- a/tests/system/test_control_member.py
+++ b/tests/system/test_control_member.py
@@ -42,11 +42,11 @@
     @property
     def position(self) -> Position:
         """The log position of the member's state."""
-        return self.member.image.position
+        return self.member.persisted.position
 
     def heartbeat(self, epoch: int, echo: float | None = None) -> Heartbeat:
         """A heartbeat of the primary."""
-        return Heartbeat(epoch, self.primary, self.member.image.state.sequence, True, echo)
+        return Heartbeat(epoch, self.primary, self.member.persisted.state.sequence, True, echo)
 
     def append(self, epoch: int, previous: Position) -> AppendEntries:
         """A request of the primary to append one entry."""
@@ -68,7 +68,7 @@
         for machine in (primary, third):
             machine.kill()
         await world.until(lambda: member.clock() >= member._lease_until, 3.0, "the expiry of the lease")
-        record = member.image.record
+        record = member.persisted.record
         assert record is not None
         infos = {info.name: info for info in record.witnesses}
         await act(IsolatedBackup(member, record, infos[primary.name], infos[third.name]))
@@ -103,13 +103,13 @@
         later = replace(isolated.record, epoch=epoch + 1, primary=isolated.third.member)
         storing = asyncio.create_task(isolated.member.accept(AcceptEpoch(later)))
         await asyncio.sleep(0.001)
-        assert isolated.member.image.promised == epoch
+        assert isolated.member.persisted.promised == epoch
         # When the request for the promise is repeated
         answer = await isolated.member.prepare(PrepareEpoch(epoch, isolated.third))
         # Then it is refused, and the record remains
         assert (await storing).done
         assert not answer.granted
-        assert isolated.member.image.promised == epoch + 1
+        assert isolated.member.persisted.promised == epoch + 1
 
     _story(act)
 
@@ -117,7 +117,7 @@
 def test_the_state_is_sent_only_to_the_candidate_of_the_promised_epoch() -> None:
     async def act(isolated: IsolatedBackup) -> None:
         epoch = await _promised(isolated)
-        assert (await isolated.member.fetch(FetchState(epoch))).state == isolated.member.image.state
+        assert (await isolated.member.fetch(FetchState(epoch))).state == isolated.member.persisted.state
         for other in (epoch - 1, epoch + 1):
             with pytest.raises(StorageFault):
                 await isolated.member.fetch(FetchState(other))
@@ -128,7 +128,7 @@
 def test_an_initial_state_is_stored_only_for_the_promised_epoch_and_at_the_claimed_position() -> None:
     async def act(isolated: IsolatedBackup) -> None:
         epoch = await _promised(isolated)
-        before = isolated.member.image
+        before = isolated.member.persisted
         wrong = [
             InstallState(epoch - 1, isolated.third.member, isolated.position, ControlState()),
             InstallState(epoch, isolated.primary.member, isolated.position, ControlState()),
@@ -136,7 +136,7 @@
         ]
         for request in wrong:
             assert not (await isolated.member.install(request)).done
-        assert isolated.member.image == before
+        assert isolated.member.persisted == before
         right = InstallState(epoch, isolated.third.member, isolated.position, None)
         assert (await isolated.member.install(right)).done
 
@@ -150,7 +150,7 @@
         foreign = replace(isolated.record, epoch=epoch, primary=isolated.primary.member)
         for record in (below, foreign):
             assert not (await isolated.member.accept(AcceptEpoch(record))).done
-        assert isolated.member.image.record == isolated.record
+        assert isolated.member.persisted.record == isolated.record
         own = replace(isolated.record, epoch=epoch, primary=isolated.third.member)
         assert (await isolated.member.accept(AcceptEpoch(own))).done
 
@@ -201,7 +201,7 @@
 def test_the_age_of_a_state_counts_from_the_newest_echo_whose_position_is_stored_here() -> None:
     async def act(isolated: IsolatedBackup) -> None:
         member, epoch = isolated.member, isolated.record.epoch
-        here = member.image.state.sequence
+        here = member.persisted.state.sequence
         first = (await member.heartbeat(isolated.heartbeat(epoch))).clock
         await asyncio.sleep(0.1)
         second = (await member.heartbeat(isolated.heartbeat(epoch))).clock
--- a/tests/system/test_control_planted.py
+++ b/tests/system/test_control_planted.py
@@ -41,7 +41,7 @@
     wiped.start()
     await asyncio.sleep(5.0)
     await world.settle()
-    world.require_sound()
+    world.raise_violations()
 
 
 async def _most_disks_lost() -> None:
@@ -66,7 +66,7 @@
     world.network.cut(backup.address, primary.address)
     await asyncio.sleep(20.0)
     watching.cancel()
-    world.require_sound()
+    world.raise_violations()
 
 
 async def _cut_off_primary() -> None:
@@ -83,7 +83,7 @@
     if isinstance(answer, SubmitResult) and answer.status == 200:
         world.check(lambda: world.history.read(answer.body, 2))
     watching.cancel()
-    world.require_sound()
+    world.raise_violations()
 
 
 async def _all_power_lost() -> None:
@@ -95,7 +95,7 @@
         for machine in world.machines.values():
             machine.lose_power()
         await world.settle(8.0)
-        world.require_sound()
+        world.raise_violations()
         for machine in world.machines.values():
             machine.kill()
 
@@ -116,7 +116,7 @@
     for backup in backups:
         backup.folder.full = False
     await world.settle()
-    world.require_sound()
+    world.raise_violations()
 
 
 async def _answer_lost() -> None:
@@ -141,7 +141,7 @@
         await asyncio.sleep(7.0)
         world.machines[holder].thaw()
         await asyncio.sleep(3.0)
-    world.require_sound()
+    world.raise_violations()
 
 
 async def _third_restarts_between_two() -> None:
@@ -160,7 +160,7 @@
         world.network.heal()
         await asyncio.sleep(3.0)
     watching.cancel()
-    world.require_sound()
+    world.raise_violations()
 
 
 async def _frozen_for_long() -> None:
@@ -180,7 +180,7 @@
         await asyncio.sleep(0.001)
         world.check(lambda: world._check_claim(backup))
     watching.cancel()
-    world.require_sound()
+    world.raise_violations()
 
 
 async def _stopped_during_a_loss() -> None:
@@ -205,7 +205,7 @@
     world = await _started(11)
     assert await world.change(1, 2, 9.0) == 2
     await world.change(1, 3, 9.0)
-    world.require_sound()
+    world.raise_violations()
 
 
 async def _many_changes_in_one_batch() -> None:
@@ -237,7 +237,7 @@
         budget.renew_when_whole()
         assert await Faults(world, random.Random(seed), budget).kinds[kind]()
         await world.settle()
-        world.require_sound()
+        world.raise_violations()
         for machine in world.machines.values():
             machine.kill()
 
--- a/tests/system/test_edge_freshness.py
+++ b/tests/system/test_edge_freshness.py
@@ -67,7 +67,7 @@
         await self.world.settle()
         world = self.world
         await world.until(lambda: self.edge.version() == 3 and self.edge.serves_keys(), 4.0, "keys served")
-        world.require_sound()
+        world.raise_violations()
 
 
 async def _control_hangs() -> None:
--- a/tests/system/usage_stage.py
+++ b/tests/system/usage_stage.py
@@ -22,7 +22,7 @@
 )
 from arrowfold.node.settings import Bounds
 from arrowfold.replication.replica import Replica
-from arrowfold.replication.roles import RoleAuthority, hand_over_wait_s
+from arrowfold.replication.roles import RoleAuthority, handover_wait_s
 from arrowfold.replication.state import ControlState
 from tests.system.control_simulation.lives import Life, LivesLoop
 from tests.system.control_simulation.machines import ROLE, Machine, TraceLog
@@ -55,7 +55,7 @@
     def wrap_handlers(self, replica: Replica) -> dict[type[Any], Any]:
         """Adds the usage handlers and runs the usage service for the lifetime of the process."""
         self.roles = (ROLE, USAGE_ROLE)
-        wait_s = hand_over_wait_s(Bounds(fencingChecked=True, contactMs=4000), ORDER_DELIVERY_S)
+        wait_s = handover_wait_s(Bounds(fencingChecked=True, contactMs=4000), ORDER_DELIVERY_S)
         authority = RoleAuthority(replica, self.clock, replica.authority_until, wait_s)
         replica.add_listener(authority.observe)
         decisions = UsageDecisions(replica, SimulatedCaller(self.network, self.address))
@@ -221,7 +221,7 @@
             for tenant, actual in self.actual_counts[window].items():
                 assert abs(counts.get(tenant, 0) - actual) <= error * actual, (window, tenant, counts, actual)
         assert self.checker.violations == []
-        self.require_sound()
+        self.raise_violations()
 
 
 class ScheduledDutyWorld(DutyWorld):
@@ -250,7 +250,7 @@
             self.platform.slow_s = self.draw.choice([0.0, 0.5, 2.5, 3.5])
             self.platform.lost_answers = self.draw.randint(0, 1)
 
-    def require_sound(self) -> None:
+    def raise_violations(self) -> None:
         """Fails if any check, including those of the platform, found a violation."""
         self.violations += self.checker.violations
-        super().require_sound()
+        super().raise_violations()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,7 +18,7 @@
     MIN_GROUP_SIZE,
     MIN_SIDE_SIZE,
     TARGET_SIZE,
-    Part,
+    WorkerSubset,
     name_hash,
 )
 from arrowfold.routing.core import Core
@@ -54,7 +54,7 @@
 
 class Subsets(unittest.TestCase):
     def test_a_short_list_is_passed_on_unchanged(self) -> None:
-        part = Part("z0", 7)
+        part = WorkerSubset("z0", 7)
         for update in (api.RosterUpdate(WHOLE, tuple(worker_entries(TARGET_SIZE))),
                        api.RosterUpdate(api.RosterMode.ERROR),
                        api.RosterUpdate(CHANGE, (terminated(worker_entries(1)[0]),
@@ -68,7 +68,7 @@
 
     def test_a_subset_is_bounded_and_has_the_own_zone_and_some_of_each_zone_and_kind(self) -> None:
         for count in (800, 2700, 5400, 10_000):
-            part = Part("z3", 11)
+            part = WorkerSubset("z3", 11)
             result = part.take(api.RosterUpdate(WHOLE, tuple(worker_entries(count)))).entries
             self.assertLessEqual(len(result), TARGET_SIZE + 64)
             groups = Counter((entry.zone, entry.kind) for entry in result)
@@ -82,7 +82,7 @@
         many = tuple(worker_entries(2700))
         seen: Counter[str] = Counter()
         for number in range(200):
-            part = Part(f"z{number % 19}", number)
+            part = WorkerSubset(f"z{number % 19}", number)
             seen.update(entry.worker for entry in part.take(api.RosterUpdate(WHOLE, many)).entries)
         self.assertEqual(len(seen), 2700)
         loads = sorted(seen.values())
@@ -91,19 +91,19 @@
         self.assertLess(abs(low - 1350), 150)
 
     def test_a_split_moves_no_worker_from_one_half_to_the_other(self) -> None:
-        part = Part("z0", 5)
+        part = WorkerSubset("z0", 5)
         before = {e.worker for e in part.take(api.RosterUpdate(WHOLE, tuple(worker_entries(1400)))).entries}
         part.take(api.RosterUpdate(CHANGE, tuple(worker_entries(1400, first=1400))))
         self.assertLessEqual({n for n in part.members if n < "s-01400"}, before)
         self.assertGreater(part.other_zone_splits, 1)
 
     def test_workers_known_only_to_this_node_are_always_in_the_subset(self) -> None:
-        part = Part("z0", 5, lambda name: name.endswith("7"))
+        part = WorkerSubset("z0", 5, lambda name: name.endswith("7"))
         result = part.take(api.RosterUpdate(WHOLE, tuple(worker_entries(2700))))
         self.assertEqual(sum(entry.worker.endswith("7") for entry in result.entries), 270)
 
     def test_after_the_loss_of_zones_the_subset_grows_from_the_others(self) -> None:
-        part, module, many = Part("z0", 5), ModuleModel(), worker_entries(2700)
+        part, module, many = WorkerSubset("z0", 5), ModuleModel(), worker_entries(2700)
         module.apply(part.take(api.RosterUpdate(WHOLE, tuple(many))))
         for zone in range(12):
             module.apply(part.take(api.RosterUpdate(
@@ -112,10 +112,10 @@
         self.assertEqual(module.entries.keys(), part.members)
 
     def test_another_number_or_zone_selects_another_subset(self) -> None:
-        part, module, many = Part("z0", 0), ModuleModel(), worker_entries(2700)
+        part, module, many = WorkerSubset("z0", 0), ModuleModel(), worker_entries(2700)
         module.apply(part.take(api.RosterUpdate(WHOLE, tuple(many))))
         module.apply(part.move("z1", 3))
-        fresh = Part("z1", 3).take(api.RosterUpdate(WHOLE, tuple(many)))
+        fresh = WorkerSubset("z1", 3).take(api.RosterUpdate(WHOLE, tuple(many)))
         self.assertEqual(module.entries.keys(), {entry.worker for entry in fresh.entries})
 
     def test_the_core_passes_a_subset_to_its_module_and_operators_reach_every_worker(self) -> None:
@@ -149,7 +149,7 @@
 @given(steps=st.lists(st.tuples(st.sampled_from(["grow", "shrink", "drain", "whole", "move"]),
                                 st.integers(0, 2000)), min_size=1, max_size=14))
 def test_what_the_module_knows_is_always_the_subset(steps: list[tuple[str, int]]) -> None:
-    part, module, chance = Part("z1", 3), ModuleModel(), Random(1)
+    part, module, chance = WorkerSubset("z1", 3), ModuleModel(), Random(1)
     listed: dict[str, api.RosterEntry] = {}
     for what, size in steps:
         some = worker_entries(size, zones=5, first=chance.randrange(2000))
