--- a/arrowfold/expectations/memory_server.py
+++ b/arrowfold/expectations/memory_server.py
@@ -54,13 +54,13 @@
 
     def send(self, dispatch: Dispatch) -> None:
         """Sends an attempt; it arrives after the one-way delay."""
-        dispatch.whole = True
+        dispatch.is_sent = True
         self.context.clock.call_later(WIRE_DELAY, lambda: self._receive(dispatch))
 
     def _receive(self, dispatch: Dispatch) -> None:
         """Handles an attempt whose last byte has arrived."""
         ending = self.context.world.ending if not dispatch.number else "served"
-        if dispatch.over or self.is_silent:
+        if dispatch.has_ended or self.is_silent:
             return
         if self.is_stopped or ending == "refused":
             dispatch.ended(api.Status.CONNECT_FAILED)
@@ -77,7 +77,7 @@
         if dispatch not in self.running or self.is_silent:
             return
         self.running.remove(dispatch)
-        if not dispatch.over:
+        if not dispatch.has_ended:
             dispatch.ended({"error": api.Status.ERROR, "reset": api.Status.RESET}.get(ending, api.Status.OK),
                            b"", self.load())
 
@@ -104,5 +104,5 @@
         """Ends the process: attempts in progress are reset."""
         running, self.running = self.running, []
         for dispatch in running:
-            if not dispatch.over:
+            if not dispatch.has_ended:
                 dispatch.ended(api.Status.RESET)
--- a/arrowfold/expectations/recorder.py
+++ b/arrowfold/expectations/recorder.py
@@ -21,18 +21,18 @@
         self.now, self.history = now, history
         self.known: dict[str, Sight] = {}
 
-    def settled(self, settings: api.Settings) -> None:
+    def settings_changed(self, settings: api.Settings) -> None:
         self.history.cold = timedelta(microseconds=settings.cold_us)
 
     def listed(self, update: api.RosterUpdate) -> None:
         self.history.sights += sights_of(self.now(), update, self.known)
 
-    def called(self, server: str, out: bool) -> None:
+    def maintenance_changed(self, server: str, out: bool) -> None:
         self.history.calls.append(Call(self.now(), server, out))
 
-    def taken(self, session: Session) -> None:
+    def session_started(self, session: Session) -> None:
         job = session.job
-        subject = Subject(job.request_class, job.region, job.key, job.payer, job.client, job.resent)
+        subject = Subject(job.request_class, job.region, job.key, job.tenant_path, job.client, job.resent)
         session.span = Life(job.id, subject, self.now(), job.deadline)
         self.history.lives.append(session.span)
 
--- a/arrowfold/expectations/worlds.py
+++ b/arrowfold/expectations/worlds.py
@@ -36,7 +36,7 @@
         self.history = History()
         self.arrived = 0
         recorder = Recorder(self.clock.now, self.history)
-        recorder.settled(plan.settings)
+        recorder.settings_changed(plan.settings)
         self.core = plan.make_core(
             plan.settings, world.seed, self.clock, Counter(), lambda follow: None,
             lambda event, **fields: None)
@@ -168,11 +168,11 @@
         The worker list keeps reporting them as in service.
         """
         for server in servers:
-            self.core.take_out(server.name)
+            self.core.start_maintenance(server.name)
         self._update_list(servers, 300 * MS)
         if self.world.event == "back":
             for server in servers:
-                self.clock.call_later(600 * MS, lambda name=server.name: self.core.bring_back(name))  # type: ignore[misc]
+                self.clock.call_later(600 * MS, lambda name=server.name: self.core.end_maintenance(name))  # type: ignore[misc]
 
     def _make_silent(self, servers: list[SimulatedServer]) -> None:
         for server in servers:
--- a/arrowfold/program/node.py
+++ b/arrowfold/program/node.py
@@ -114,7 +114,7 @@
         except OSError as error:
             raise ConfigError(f"trace > file: {error}") from error
         self.core.observer = self.trace
-        self.trace.settled(self.config.settings)
+        self.trace.settings_changed(self.config.settings)
 
     # --- operators ---------------------------------------------------------------------------------------
 
@@ -152,9 +152,9 @@
 
     def _apply_command(self, name: str, argument: str) -> None:
         if name == "maint-on":
-            self.core.take_out(argument)
+            self.core.start_maintenance(argument)
         elif name == "maint-off":
-            self.core.bring_back(argument)
+            self.core.end_maintenance(argument)
         else:
             self.front.stand_by(name == "standby")
             if self.faktory is not None:
@@ -198,7 +198,7 @@
         self.core.table.out.update(state.get("maintenance") or {})
         if self.trace is not None:
             for name in self.core.table.out:
-                self.trace.called(name, True)
+                self.trace.maintenance_changed(name, True)
         self.core.table.back.update({n: tuple(pair) for n, pair in (state.get("back") or {}).items()})
         if state.get("standby"):
             self._apply_command("standby", "")
@@ -403,7 +403,7 @@
         """
         deadline = self.loop.now() + FINAL_WRITE_TIMEOUT
         self.front.finish()
-        self.core.give_up_all()
+        self.core.fail_all()
         yield from self.loop.turn()
         while self.loop.now() < deadline and (
                 self.front.unsettled() or (self.faktory is not None and self.faktory.producers_owed())):
--- a/arrowfold/program/succession.py
+++ b/arrowfold/program/succession.py
@@ -23,7 +23,7 @@
 
 from arrowfold.routing.session import Logging
 from arrowfold.transport.loop import Loop, Steps, Task
-from arrowfold.transport.stream import Address, Broken, Stream
+from arrowfold.transport.stream import Address, Stream, StreamBroken
 
 HANDSHAKE_TIMEOUT = timedelta(seconds=1)  # a predecessor that does not answer in this time is ignored
 CONFIRM_TIMEOUT = timedelta(milliseconds=700)  # an operator's command must be answered within a second
@@ -169,7 +169,7 @@
                     break  # bounds the memory used when the other process hangs
                 data, self.backlog = bytes(self.backlog), bytearray()
                 yield from self.stream.write(data)
-        except Broken:
+        except StreamBroken:
             pass
         self.close()
 
@@ -187,7 +187,7 @@
                 if not data:
                     break
                 buffered += data
-        except (Broken, ValueError):
+        except (StreamBroken, ValueError):
             pass
         self.close()
 
--- a/arrowfold/program/trace.py
+++ b/arrowfold/program/trace.py
@@ -47,12 +47,12 @@
 
     # --- events of the routing core ----------------------------------------------------------------------
 
-    def settled(self, settings: api.Settings) -> None:
+    def settings_changed(self, settings: api.Settings) -> None:
         self._record_event("settings", {
             "cold_us": settings.cold_us, "classes": [cls.name for cls in settings.classes],
             "kinds": [cls.kind or "" for cls in settings.classes]})
 
-    def called(self, server: str, out: bool) -> None:
+    def maintenance_changed(self, server: str, out: bool) -> None:
         self._record_event("call", {"server": server, "out": out})
 
     def listed(self, update: api.RosterUpdate) -> None:
@@ -61,9 +61,9 @@
                 "server": sight.server, "zone": sight.zone, "kind": sight.kind, "state": sight.state.value,
                 "launched_us": to_us(sight.launched) if sight.launched is not None else 0})
 
-    def taken(self, session: Session) -> None:
+    def session_started(self, session: Session) -> None:
         job = session.job
-        optional = {"region": job.region, "key": job.key, "tenant": job.payer, "client": job.client}
+        optional = {"region": job.region, "key": job.key, "tenant": job.tenant_path, "client": job.client}
         session.span = self._tracer.start_span("session", Context(), start_time=self._now(), attributes={
             "session": job.id, "class": job.request_class, "resent": job.resent,
             "deadline_us": to_us(job.deadline),
--- a/arrowfold/protocol/admin.py
+++ b/arrowfold/protocol/admin.py
@@ -9,7 +9,7 @@
 from arrowfold.routing.session import Logging
 from arrowfold.transport.budget import Reserve
 from arrowfold.transport.loop import Loop, Steps, Task
-from arrowfold.transport.stream import Address, Broken, Late, Listener, Stream
+from arrowfold.transport.stream import Address, Listener, Stream, StreamBroken, TimedOut
 
 MAX_CALLERS = 16
 MAX_LINE_BYTES = 256
@@ -94,7 +94,7 @@
             until = self.loop.now() + ANSWER_TIMEOUT
             yield from stream.write(f"{' '.join(answer.split())}\n".encode(), until)
             yield from stream.linger(self.loop.now() + LINGER_TIME, LINGER_TIME)
-        except (Broken, Late):
+        except (StreamBroken, TimedOut):
             self.counters["admin_broken"] += 1
         finally:
             self._close(stream)
@@ -110,7 +110,7 @@
                 raise Refused(f"the line is over {MAX_LINE_BYTES} bytes")
             try:
                 data = yield from stream.read(until)
-            except Late:
+            except TimedOut:
                 raise Refused("no whole line came in time") from None
             if not data:
                 raise Refused("the line has no end: it may be cut off")
--- a/arrowfold/protocol/discovery.py
+++ b/arrowfold/protocol/discovery.py
@@ -18,7 +18,7 @@
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import Cancellable, Logging, from_us
 from arrowfold.transport.loop import ZERO, Loop, Steps, Task
-from arrowfold.transport.stream import Address, Broken, Late, connect
+from arrowfold.transport.stream import Address, StreamBroken, TimedOut, connect
 
 SOURCE = "discovery"
 CALL_TIMEOUT = timedelta(seconds=3)
@@ -51,11 +51,11 @@
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class WatchTimeout(Late):
+class WatchTimeout(TimedOut):
     """An open watch received no complete message or empty line in time; treated as a broken connection."""
 
 
-class DiscoveryUnreachable(Broken):
+class DiscoveryUnreachable(StreamBroken):
     """No connection to the discovery service could be opened."""
 
 
@@ -74,13 +74,13 @@
         self.has_progress = False  # whether the last bytes completed a message or a keep-alive
 
     def feed(self, data: bytes) -> list[Any]:
-        """Returns the messages completed by `data`. ValueError if one is not JSON, Broken if too large."""
+        """Returns the messages completed by `data`. ValueError if one is not JSON, StreamBroken if too large."""
         self.unfinished_line += data
         self.has_progress, messages = False, []
         *lines, rest = self.unfinished_line.split(b"\n")
         self.unfinished_line = rest
         if len(self.unfinished_line) + len(self.partial_message) > MAX_LIST_BYTES:
-            raise Broken(f"a message is over {MAX_LIST_BYTES} bytes")
+            raise StreamBroken(f"a message is over {MAX_LIST_BYTES} bytes")
         for line in lines:
             if not line.strip():
                 self.has_progress = self.has_progress or not self.partial_message
@@ -146,7 +146,7 @@
             if not self.heard:
                 self.log("serves_from_known")
                 self.counters["discovery_unheard"] += 1
-            self.core.list_holds()
+            self.core.list_confirmed()
 
     def move(self, address: Address) -> None:
         """Switch to another address of the discovery service."""
@@ -264,7 +264,7 @@
     def limit(self, idle: timedelta, connect_limit: timedelta) -> None:
         """Change the idle and connect time limits of every search worker."""
         for _, _, worker in self.workers.values():
-            worker.connect_limit, worker.pool.idle_span = connect_limit, idle
+            worker.connect_limit, worker.pool.idle_limit = connect_limit, idle
 
     def known(self) -> dict[str, Any]:
         """Returns the complete list as last known, in the format of the discovery service."""
@@ -332,7 +332,7 @@
                 yield from self._read(follow)
                 if not follow:
                     return
-            except (Broken, Late, ValueError, RecursionError) as fault:
+            except (StreamBroken, TimedOut, ValueError, RecursionError) as fault:
                 error, refused = str(fault), isinstance(fault, ImplausibleList)
                 if isinstance(fault, WatchTimeout):
                     self.counters["discovery_silences"] += 1
@@ -405,7 +405,7 @@
                          if self._is_pushed() else CALL_TIMEOUT)
         try:
             stream = yield from connect(self.loop, address, min(until, begun + CONNECT_TIMEOUT))
-        except (Broken, Late) as error:
+        except (StreamBroken, TimedOut) as error:
             raise DiscoveryUnreachable(str(error)) from error
         try:
             exchange = ClientSide(stream, math.inf)  # a watch has no total size; each message is bounded
@@ -413,7 +413,7 @@
             yield from exchange.send("GET", target, [("Host", host)], b"", until)
             status, _ = yield from exchange.head(until)
             if status != 200:
-                raise Broken(f"answered {status}")
+                raise StreamBroken(f"answered {status}")
             if follow:
                 yield from self._follow_watch(exchange, begun + CALL_TIMEOUT)
             else:
@@ -434,7 +434,7 @@
         while True:
             try:
                 part = yield from exchange.part(until)
-            except Late as error:
+            except TimedOut as error:
                 self.update_due_until = last_message + UPDATE_DUE_AFTER_SILENCE
                 raise WatchTimeout(f"no message or keep-alive for {limit.total_seconds():.1f} s") from error
             for message in parser.feed(part or b""):
--- a/arrowfold/protocol/faktory.py
+++ b/arrowfold/protocol/faktory.py
@@ -38,7 +38,7 @@
 from arrowfold.routing.session import Job, Verdict
 from arrowfold.transport.budget import Budget, ClientShare
 from arrowfold.transport.loop import Loop, Steps
-from arrowfold.transport.stream import Address, Broken, Late, Listener, Stream
+from arrowfold.transport.stream import Address, Listener, Stream, StreamBroken, TimedOut
 
 FETCH_WAIT = timedelta(seconds=2)
 HELLO_TIMEOUT = timedelta(milliseconds=2700)  # from accept; the same as for an HTTP client's first request
@@ -171,7 +171,7 @@
         except CommandError as error:
             self.counters["faktory_errors"] += 1
             yield from self._write_fatal_reply(stream, error_reply(str(error)))
-        except (Broken, Late):
+        except (StreamBroken, TimedOut):
             self.counters["faktory_connections_broken"] += 1
         finally:
             stream.close()
@@ -185,7 +185,7 @@
         try:
             yield from stream.write(reply, self.loop.now() + WRITE_TIMEOUT)
             yield from stream.linger(self.loop.now() + LINGER_TIMEOUT, LINGER_TIMEOUT)
-        except (Broken, Late):
+        except (StreamBroken, TimedOut):
             self.counters["faktory_connections_broken"] += 1
 
     def _greet(self, peer: Peer) -> Steps[None]:
@@ -194,7 +194,7 @@
         yield from peer.commands.stream.write(greeting.line(), until)
         command = yield from peer.commands.command(until)
         if command is None:
-            raise Broken("left before HELLO")
+            raise StreamBroken("left before HELLO")
         if command[0] != "HELLO":
             raise CommandError(f"{command[0][:20]}: HELLO comes first", fatal=True)
         try:
@@ -236,7 +236,7 @@
         answer = yield from peer.submit(
             self.loop, self.core, job, peer.commands.stream, peer.commands.poll_disconnect)
         if answer is None:
-            raise Broken("the producer left")
+            raise StreamBroken("the producer left")
         if answer.verdict is Verdict.SERVED:
             return OK
         if answer.verdict is Verdict.FAILED:
@@ -310,19 +310,19 @@
             dispatch = worker.end_fetch(fetch)
         if dispatch is None:
             if gone:
-                raise Broken("the worker left")
+                raise StreamBroken("the worker left")
             return NIL
         try:
             if peer.commands.poll_disconnect():
-                raise Broken("the worker left")
+                raise StreamBroken("the worker left")
             # Guards rule 2: before its last byte is sent the job can't have run, afterwards it may have.
             job = bulk_reply(worker_fields(dispatch.job, dispatch.job.deadline - self.loop.now()))
             yield from peer.commands.stream.write(job, dispatch.job.deadline)
-            dispatch.whole = True
-        except (Broken, Late):
+            dispatch.is_sent = True
+        except (StreamBroken, TimedOut):
             worker.fail_fetch(dispatch)
             raise
-        if not dispatch.over:
+        if not dispatch.has_ended:
             dispatch.started()
         return b""
 
--- a/arrowfold/protocol/faktory_wire.py
+++ b/arrowfold/protocol/faktory_wire.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from arrowfold.transport.loop import Steps
-from arrowfold.transport.stream import Broken, Stream
+from arrowfold.transport.stream import Stream, StreamBroken
 
 MAX_LINE_BYTES = 96 * 1024  # fits an escaped job of 64 KiB and its other fields
 COMMAND_TIMEOUT = timedelta(milliseconds=2700)  # from a command's first byte to its last
@@ -92,7 +92,7 @@
         """Returns the next command's name and argument; None if the peer closes between two commands.
 
         A peer may be idle between two commands, but has COMMAND_TIMEOUT within one. A fatal CommandError if
-        the line is malformed, Broken or Late if it is incomplete.
+        the line is malformed, StreamBroken or TimedOut if it is incomplete.
         """
         if self.has_overrun:
             raise CommandError(f"more than {MAX_LINE_BYTES} bytes were sent ahead", fatal=True)
@@ -104,7 +104,7 @@
             data = yield from self.stream.read(until)
             if not data:
                 if self.buffered:
-                    raise Broken("ended within a command")
+                    raise StreamBroken("ended within a command")
                 return None
             self.buffered += data
             if not begun:
--- a/arrowfold/protocol/faktory_worker.py
+++ b/arrowfold/protocol/faktory_worker.py
@@ -147,7 +147,7 @@
         CommandError if the job was not fetched by this worker.
         """
         dispatch = self.fetched.pop(jid, None)
-        if dispatch is not None and not dispatch.over:
+        if dispatch is not None and not dispatch.has_ended:
             self._remember_ended(jid)
             dispatch.ended(status, body, self.load(), fetched)
         elif jid in self.ended_jobs:
@@ -183,7 +183,7 @@
         waited = dispatch in self.queued
         if waited:
             self.queued.remove(dispatch)
-        if not dispatch.over and (waited or self.fetched.get(dispatch.job.id) is not dispatch):
+        if not dispatch.has_ended and (waited or self.fetched.get(dispatch.job.id) is not dispatch):
             dispatch.ended(api.Status.FULL, b"", self.load())
 
     def _forget_fetched(self, dispatch: Dispatch) -> bool:
--- a/arrowfold/protocol/front.py
+++ b/arrowfold/protocol/front.py
@@ -20,7 +20,7 @@
 from arrowfold.routing.session import Job, Verdict
 from arrowfold.transport.budget import Budget, ClientShare
 from arrowfold.transport.loop import ZERO, Loop, Steps
-from arrowfold.transport.stream import Address, Broken, Late, Listener, Stream
+from arrowfold.transport.stream import Address, Listener, Stream, StreamBroken, TimedOut
 
 IDLE_TIMEOUT = timedelta(seconds=75)  # between two requests
 FIRST_REQUEST_TIMEOUT = timedelta(milliseconds=2700)  # from accept to the first request's last byte
@@ -121,7 +121,7 @@
         self.client_share = ClientShare(budget, share)
         self.listener = Listener(
             loop, address, self.client_share, self._accepted, self._free_connections, sock=sock)
-        budget.sheds.append(self._free_connections)
+        budget.idle_closers.append(self._free_connections)
 
     # --- connections -----------------------------------------------------------------------------------
 
@@ -269,7 +269,7 @@
                 # Guards the last answer's bytes: closing with unread input would reset the connection.
                 connection.enter(Stage.LINGERING, self.loop.now())
                 yield from side.stream.linger(self.loop.now() + FINAL_LINGER, FINAL_LINGER)
-        except (Broken, Late):
+        except (StreamBroken, TimedOut):
             self.counters["connections_broken"] += 1
         finally:
             self._close(connection)
@@ -283,7 +283,7 @@
                 data = yield from side.stream.read(
                     connection.accepted + FIRST_REQUEST_TIMEOUT if connection.is_first_request
                     else now + IDLE_TIMEOUT)
-            except Late:
+            except TimedOut:
                 self.counters["connections_silent"] += 1
                 return False
             side.feed(data)
@@ -306,7 +306,7 @@
                 # Guards rule 2: the settings changed between the head and the body, and a stricter class may
                 # require more of the head than the class under which it was read.
                 job, wait = self._read_job(request)
-        except Late as error:
+        except TimedOut as error:
             raise BadRequest(408, "the request did not come in time") from error
         connection.enter(Stage.ANSWER_DUE, self.loop.now())
         connection.is_first_request = False
--- a/arrowfold/protocol/http.py
+++ b/arrowfold/protocol/http.py
@@ -10,7 +10,7 @@
 import h11
 
 from arrowfold.transport.loop import Steps
-from arrowfold.transport.stream import Broken, Stream
+from arrowfold.transport.stream import Stream, StreamBroken
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
@@ -182,7 +182,7 @@
     def send(
             self, method: str, target: str, headers: list[tuple[str, str]], body: bytes, until: timedelta,
     ) -> Steps[None]:
-        """Write a complete request; Broken or Late if its last byte could not be sent."""
+        """Write a complete request; StreamBroken or TimedOut if its last byte could not be sent."""
         if body or method == "POST":
             headers = [*headers, ("Content-Length", str(len(body)))]
         # Unchanged: a header may hold any Latin-1 text, which h11 accepts as bytes only.
@@ -194,7 +194,7 @@
         yield from self.stream.write(b"".join(parts), until)
 
     def _next(self, until: timedelta) -> Steps[h11.Event | type[h11.PAUSED]]:
-        """Returns the next event of the answer; Broken if it is malformed or too large."""
+        """Returns the next event of the answer; StreamBroken if it is malformed or too large."""
         try:
             while True:
                 event = self.wire.next_event()
@@ -203,10 +203,10 @@
                 data = yield from self.stream.read(until)
                 self.remaining_bytes -= len(data)
                 if self.remaining_bytes < 0:
-                    raise Broken("an answer exceeds its size limit")
+                    raise StreamBroken("an answer exceeds its size limit")
                 self.wire.receive_data(data)
         except h11.RemoteProtocolError as error:
-            raise Broken(f"malformed HTTP: {error}") from error
+            raise StreamBroken(f"malformed HTTP: {error}") from error
 
     def head(self, until: timedelta) -> Steps[tuple[int, dict[str, str]]]:
         """Returns status and headers; header names are in lower case."""
@@ -215,7 +215,7 @@
             if isinstance(event, h11.Response):
                 return event.status_code, {n.decode(): v.decode("latin-1") for n, v in event.headers}
             if not isinstance(event, h11.InformationalResponse):
-                raise Broken("the connection ended before an answer")
+                raise StreamBroken("the connection ended before an answer")
 
     def part(self, until: timedelta) -> Steps[bytes | None]:
         """Returns the next part of the body; None at its end."""
@@ -225,15 +225,15 @@
         if isinstance(event, h11.EndOfMessage):
             self.reusable = self.wire.their_state is h11.DONE and not self.wire.trailing_data[0]
             return None
-        raise Broken("the connection ended within an answer")
+        raise StreamBroken("the connection ended within an answer")
 
     def rest(self, until: timedelta, most: int = MAX_BODY_BYTES) -> Steps[bytes]:
-        """Returns the rest of the body; Broken if it has more than `most` bytes."""
+        """Returns the rest of the body; StreamBroken if it has more than `most` bytes."""
         body = bytearray()
         while (data := (yield from self.part(until))) is not None:
             body += data
             if len(body) > most:
-                raise Broken(f"an answer's body is over {most} bytes")
+                raise StreamBroken(f"an answer's body is over {most} bytes")
         return bytes(body)
 
 
--- a/arrowfold/protocol/waiting.py
+++ b/arrowfold/protocol/waiting.py
@@ -7,7 +7,7 @@
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import Answer, Job
 from arrowfold.transport.loop import Loop, Steps, Task
-from arrowfold.transport.stream import Broken, Stream
+from arrowfold.transport.stream import Stream, StreamBroken
 
 MAX_PIPELINED_READS = 16  # reads of pipelined data before a job is submitted
 
@@ -60,5 +60,5 @@
 def _is_gone(poll_disconnect: Callable[[], bool | None]) -> bool | None:
     try:
         return poll_disconnect()
-    except Broken:
+    except StreamBroken:
         return True
--- a/arrowfold/protocol/worker.py
+++ b/arrowfold/protocol/worker.py
@@ -14,8 +14,8 @@
 from arrowfold.protocol.load import LoadReader, said_fetches
 from arrowfold.routing.session import Dispatch, Job, Probe, to_us
 from arrowfold.transport.loop import ZERO, Loop, Steps
-from arrowfold.transport.pool import REST, NoRoom, Pool, Pools
-from arrowfold.transport.stream import Address, Broken, Late, Stream
+from arrowfold.transport.pool import REST, ConnectionLimitReached, Pool, Pools
+from arrowfold.transport.stream import Address, Stream, StreamBroken, TimedOut
 
 MAX_LINE_BYTES = 256 * 1024  # fits a result of 64 KiB with all characters escaped
 DRAIN_TIMEOUT = timedelta(seconds=1)
@@ -62,7 +62,7 @@
         """
         if errand.errand is not None:
             errand.errand.stop()
-        return None if isinstance(errand, Dispatch) and errand.whole else api.Status.MOOT
+        return None if isinstance(errand, Dispatch) and errand.is_sent else api.Status.MOOT
 
     def rest(self) -> None:
         """Close idle connections. Guards against those broken by a restart, whose errors would mislead."""
@@ -89,12 +89,12 @@
         job = dispatch.job
         try:
             stream = yield from self._connect("dispatch")
-        except NoRoom:
+        except ConnectionLimitReached:
             # The request was not sent, and the node's limit is no failure of the worker.
             self.counters["connections_no_room"] += 1
             dispatch.ended(api.Status.MOOT)
             return
-        except Broken:
+        except StreamBroken:
             dispatch.ended(api.Status.CONNECT_FAILED)
             return
         exchange = ClientSide(stream)
@@ -108,8 +108,8 @@
                 headers.append(("Idempotency-Key", job.effect_key))
             try:
                 yield from exchange.send(method, target, headers, job.body, job.deadline)
-                dispatch.whole = True
-            except (Broken, Late):
+                dispatch.is_sent = True
+            except (StreamBroken, TimedOut):
                 dispatch.ended(api.Status.CONNECT_FAILED)
                 return
             except (h11.LocalProtocolError, UnicodeError):
@@ -117,13 +117,13 @@
                 return
             try:
                 yield from self._read_answer(dispatch, exchange)
-            except Late:
+            except TimedOut:
                 dispatch.ended(api.Status.TIMEOUT)
-            except (Broken, ValueError, RecursionError) as error:
+            except (StreamBroken, ValueError, RecursionError) as error:
                 # Guards rule 2: after the last byte the job may have run, so this is a reset and never
                 # leads to an unreported second attempt.
                 self.counters["resets"] += 1
-                if not dispatch.over:
+                if not dispatch.has_ended:
                     dispatch.ended(api.Status.RESET)
                 del error
         finally:
@@ -132,7 +132,7 @@
     def _read_answer(self, dispatch: Dispatch, exchange: ClientSide) -> Steps[None]:
         """Read the answer's lines of JSON; the line that ends the attempt is reported at once.
 
-        Broken, Late or ValueError if the answer ends early, is late or malformed.
+        StreamBroken, TimedOut or ValueError if the answer ends early, is late or malformed.
         """
         status, headers = yield from exchange.head(dispatch.job.deadline)
         load = self._header_load(headers)
@@ -143,14 +143,14 @@
             yield from exchange.rest(self.loop.now() + DRAIN_TIMEOUT)
             return
         buffered = bytearray()
-        while not dispatch.over:
+        while not dispatch.has_ended:
             part = yield from exchange.part(dispatch.job.deadline)
             if part is None:
-                raise Broken("the answer ended before its last line")
+                raise StreamBroken("the answer ended before its last line")
             buffered += part
             if len(buffered) > MAX_LINE_BYTES:
-                raise Broken(f"a line is over {MAX_LINE_BYTES} bytes")
-            while not dispatch.over and (end := buffered.find(b"\n")) >= 0:
+                raise StreamBroken(f"a line is over {MAX_LINE_BYTES} bytes")
+            while not dispatch.has_ended and (end := buffered.find(b"\n")) >= 0:
                 line = bytes(buffered[:end])
                 del buffered[:end + 1]
                 if line.strip():
@@ -187,7 +187,7 @@
         until = self.loop.now() + timedelta(seconds=5)
         try:
             stream = yield from self._connect("probe")
-        except Broken:
+        except StreamBroken:
             probe.ended(api.Status.CONNECT_FAILED)
             return
         exchange = ClientSide(stream)
@@ -195,7 +195,7 @@
             yield from exchange.send("GET", "/stats", [("Host", self.host)], b"", until)
             status, headers = yield from exchange.head(until)
             body = yield from exchange.rest(until)
-        except (Broken, Late):
+        except (StreamBroken, TimedOut):
             probe.ended(api.Status.RESET)
             return
         finally:
--- a/arrowfold/routing/core.py
+++ b/arrowfold/routing/core.py
@@ -59,11 +59,11 @@
 
     def __init__(
             self, settings: api.Settings, seed: int, clock: Clock, counters: Counter[str],
-            request_list: Callable[[bool], None], log: Logging, most_sessions: int = 30_000,
+            request_list: Callable[[bool], None], log: Logging, max_sessions: int = 30_000,
     ) -> None:
         self.settings, self.clock, self.counters, self.log = settings, clock, counters, log
         self.request_list = request_list  # True: subscribe to changes of the list; False: fetch it once
-        self.most_sessions = most_sessions
+        self.max_sessions = max_sessions
         self.module = Dispatcher(settings, seed, counters)
         self.table = ServerTable()
         self.part = WorkerSubset(settings.zone, settings.number, self.table.is_unshared)
@@ -100,7 +100,7 @@
             update = self.table.change(source, rows)
         else:
             update = self.table.replace(source, rows, mode)
-        self._tell_list(update)
+        self._publish_list(update)
         self._cancel_unsent_to_leaving()
         self._process_inbox()
 
@@ -113,42 +113,42 @@
         """Holds jobs from now on, because the known list may be too old to serve from."""
         self.listed = False
 
-    def list_holds(self) -> None:
+    def list_confirmed(self) -> None:
         """Marks the known list as valid and resumes the sessions that waited for it, in order of arrival."""
         self.listed = True
         self._inbox.extend((session, ListReady()) for session in self._waiting_for_list)
         self._waiting_for_list.clear()
         self._process_inbox()
 
-    def change_settings(self, settings: api.Settings, most_sessions: int) -> None:
+    def change_settings(self, settings: api.Settings, max_sessions: int) -> None:
         """Replaces the settings; open sessions keep their class."""
-        self.settings, self.most_sessions = settings, most_sessions
+        self.settings, self.max_sessions = settings, max_sessions
         if self.observer is not None:
-            self.observer.settled(settings)
+            self.observer.settings_changed(settings)
         self._consult(api.SettingsChanged(settings))
         if (settings.zone, settings.number) != (self.part.zone, self.part.number):
             self._consult(self.part.move(settings.zone, settings.number))
         self._process_inbox()
 
-    def take_out(self, name: str) -> None:
+    def start_maintenance(self, name: str) -> None:
         """Starts maintenance of a server: it receives no work until `bring_back` is called."""
         server = self.table.find(name)
         if self.observer is not None:
-            self.observer.called(name, True)
-        self._tell_list(self.table.take_out(name))
+            self.observer.maintenance_changed(name, True)
+        self._publish_list(self.table.start_maintenance(name))
         self._cancel_unsent_to_leaving()
         if server is not None:
             server.rest()
         self._process_inbox()
 
-    def bring_back(self, name: str) -> None:
+    def end_maintenance(self, name: str) -> None:
         """Ends maintenance of a server."""
         if self.observer is not None:
-            self.observer.called(name, False)
-        self._tell_list(self.table.bring_back(name, to_us(self.clock.now())))
+            self.observer.maintenance_changed(name, False)
+        self._publish_list(self.table.end_maintenance(name, to_us(self.clock.now())))
         self._process_inbox()
 
-    def _tell_list(self, update: api.RosterUpdate) -> None:
+    def _publish_list(self, update: api.RosterUpdate) -> None:
         """Passes a list update to the dispatcher, reduced to this node's part.
 
         All list updates go this way.
@@ -172,8 +172,8 @@
         self.counters["taken"] += 1
         self.owed += 1
         if self.observer is not None:
-            self.observer.taken(session)
-        if len(self.sessions) >= self.most_sessions:  # limits memory: no state is kept for this one
+            self.observer.session_started(session)
+        if len(self.sessions) >= self.max_sessions:  # limits memory: no state is kept for this one
             self.counters["over_capacity"] += 1
             self._answer(session, Answer(Verdict.DENIED))
             return session
@@ -190,7 +190,7 @@
         if not session.answered:
             self._notify(session, ClientLeft())
 
-    def give_up_all(self) -> None:
+    def fail_all(self) -> None:
         """Fails every open session because the node stops; their attempts may have run."""
         for session in [*self.runs.values(), *self.sessions.values()]:
             self._answer(session, Answer(Verdict.FAILED))
@@ -219,13 +219,13 @@
             match event:
                 case api.Send():
                     self._dispatch(session, event)
-                case Progress(dispatch, share) if not dispatch.over:
+                case Progress(dispatch, share) if not dispatch.has_ended:
                     if share is None:
                         dispatch.started_at = self.clock.now()
                     if self.observer is not None:
                         self.observer.progressed(dispatch, share)
                     self._consult(api.AttemptProgress(job.id, dispatch.number, share))
-                case Ended(dispatch, status, body, load, fetched) if not dispatch.over:
+                case Ended(dispatch, status, body, load, fetched) if not dispatch.has_ended:
                     self._close(dispatch)
                     if self.quotas is not None and fetched is not None:
                         dispatch.fetches = self.quotas.said_fetches(fetched)
@@ -281,7 +281,7 @@
         The first request starts the run; a run that has ended is replayed from the store.
         """
         job, now, cls = session.job, self.clock.now(), self._request_class(session.job.request_class)
-        digest = store.digest(job.request_class, job.payer, job.effect_key)
+        digest = store.digest(job.request_class, job.tenant_path, job.effect_key)
         decision, entry = store.look_up(cls, digest, store.digest(job.asked, job.body), now)
         self.counters[f"repeats_{decision.value}"] += 1
         if decision.value in ("conflict", "refused") or entry is None:
@@ -362,7 +362,7 @@
             return True, None
         job = session.job
         found = self.routes.find(
-            Subject(job.request_class, job.region, job.key, job.payer, job.client, job.resent))
+            Subject(job.request_class, job.region, job.key, job.tenant_path, job.client, job.resent))
         if found is None:
             return True, None
         rule, reach = found
@@ -407,7 +407,7 @@
             status = api.Status.MOOT if moot else api.Status.CONNECT_FAILED
             dispatch = Dispatch(session, number, order.worker, _ABSENT_SERVER, now, self._notify)
             session.dispatches.append(dispatch)
-            dispatch.over = True
+            dispatch.has_ended = True
             self._attempt_ended(dispatch, status, None)
             return
         dispatch = Dispatch(session, number, order.worker, server, now, self._notify)
@@ -423,7 +423,7 @@
         server.send(dispatch)
 
     def _time_out(self, dispatch: Dispatch) -> None:
-        if not dispatch.over:
+        if not dispatch.has_ended:
             status = dispatch.server.cancel(dispatch) or api.Status.TIMEOUT
             self._notify(dispatch.session, Ended(dispatch, status, b"", None))
 
@@ -434,23 +434,23 @@
         while an attempt waits for its connection, and the dispatcher cancels only what the settings allow.
         """
         for dispatch in session.unfinished():
-            if not dispatch.whole:
+            if not dispatch.is_sent:
                 self._cancel(dispatch, api.Status.CANCELLED)
 
     def _cancel_unsent_to_leaving(self) -> None:
         """Cancels unsent attempts to servers that drain or have restarted, as rules 3 and 4 require."""
         for session in [*self.runs.values(), *self.sessions.values()]:
             for dispatch in session.unfinished():
-                if not dispatch.whole and not self.table.serves(dispatch.server_name, dispatch.server):
+                if not dispatch.is_sent and not self.table.serves(dispatch.server_name, dispatch.server):
                     self._inbox.append((session, api.Cancel(session.job.id, dispatch.number)))
 
     def _cancel(self, dispatch: Dispatch, status: api.Status) -> None:
-        if not dispatch.over:
+        if not dispatch.has_ended:
             self._close(dispatch)
             self._attempt_ended(dispatch, dispatch.server.cancel(dispatch) or status, None)
 
     def _close(self, dispatch: Dispatch) -> None:
-        dispatch.over = True
+        dispatch.has_ended = True
         if dispatch.timer is not None:
             dispatch.timer.cancel()
 
@@ -547,7 +547,7 @@
         self.counters["probes"] += 1
 
         def time_out() -> None:
-            if not probe.over:
+            if not probe.has_ended:
                 probe.server.cancel(probe)
                 self._probe_ended(probe, api.Status.TIMEOUT, None)
 
@@ -559,9 +559,9 @@
         server.probe(probe)
 
     def _probe_ended(self, probe: Probe, status: api.Status, load: api.LoadReport | None) -> None:
-        if probe.over:
+        if probe.has_ended:
             return
-        probe.over = True
+        probe.has_ended = True
         if probe.timer is not None:
             probe.timer.cancel()
         self.counters["probes_ok" if status is api.Status.OK else "probes_failed"] += 1
--- a/arrowfold/routing/session.py
+++ b/arrowfold/routing/session.py
@@ -69,7 +69,7 @@
     asked: bytes = b""  # the request without its body; distinguishes different requests with the same key
 
     @property
-    def payer(self) -> str | None:
+    def tenant_path(self) -> str | None:
         """The tenant as used by routes, quotas and traces; the dispatcher uses `tenant` alone."""
         return self.account or self.tenant
 
@@ -104,16 +104,16 @@
     """One attempt of a session at a backend server."""
 
     __slots__ = (
-        "_report", "errand", "fetches", "number", "over", "sent", "server", "server_name", "session",
-        "span", "started_at", "timer", "whole")
+        "_report", "errand", "fetches", "number", "has_ended", "sent", "server", "server_name", "session",
+        "span", "started_at", "timer", "is_sent")
 
     def __init__(
             self, session: Session, number: int, server_name: str, server: BackendServer, sent: timedelta,
             report: Callable[[Session, object], None],
     ) -> None:
         self.session, self.number, self.server_name, self.server = session, number, server_name, server
-        self.sent, self.over, self._report = sent, False, report
-        self.whole = False  # its last byte was handed to the connection: from here on the server may run it
+        self.sent, self.has_ended, self._report = sent, False, report
+        self.is_sent = False  # its last byte was handed to the connection: from here on the server may run it
         self.started_at = sent  # replaced when the server reports the start
         self.fetches = 0  # index fetches, in the unit of quotas
         self.timer: Cancellable | None = None
@@ -141,13 +141,13 @@
 class Probe:
     """One request for a backend server's load report."""
 
-    __slots__ = ("_report", "errand", "over", "sent", "server", "server_name", "timer")
+    __slots__ = ("_report", "errand", "has_ended", "sent", "server", "server_name", "timer")
 
     def __init__(
             self, server_name: str, server: BackendServer, sent: timedelta,
             report: Callable[[Probe, api.Status, api.LoadReport | None], None],
     ) -> None:
-        self.server_name, self.server, self.sent, self.over = server_name, server, sent, False
+        self.server_name, self.server, self.sent, self.has_ended = server_name, server, sent, False
         self._report = report
         self.timer: Cancellable | None = None
         self.errand: Any = None
@@ -201,16 +201,16 @@
 class Observer(Protocol):
     """Receives what the core does as it happens. Must neither call back into the core nor raise."""
 
-    def settled(self, settings: api.Settings) -> None:
+    def settings_changed(self, settings: api.Settings) -> None:
         """These settings apply from now on."""
 
     def listed(self, update: api.RosterUpdate) -> None:
         """The dispatcher received this update of the server table."""
 
-    def called(self, server: str, out: bool) -> None:
+    def maintenance_changed(self, server: str, out: bool) -> None:
         """An operator has started (`out`) or ended the maintenance of a server."""
 
-    def taken(self, session: Session) -> None:
+    def session_started(self, session: Session) -> None:
         """A session has begun."""
 
     def dispatched(self, dispatch: Dispatch) -> None:
@@ -251,7 +251,7 @@
 
     def unfinished(self) -> list[Dispatch]:
         """Returns the attempts without an outcome."""
-        return [dispatch for dispatch in self.dispatches if not dispatch.over]
+        return [dispatch for dispatch in self.dispatches if not dispatch.has_ended]
 
 
     def may_have_started(self) -> bool:
--- a/arrowfold/routing/table.py
+++ b/arrowfold/routing/table.py
@@ -79,13 +79,13 @@
         """Returns whether a list has the server, or had it recently."""
         return name in self._recent_names or name in self.out or self._row(name) is not None
 
-    def take_out(self, name: str) -> api.RosterUpdate:
+    def start_maintenance(self, name: str) -> api.RosterUpdate:
         """Starts maintenance of a server; idempotent."""
         row = self._row(name)
         self.out.setdefault(name, row[0].launched_us if row is not None else 0)
         return self._update_for(row)
 
-    def bring_back(self, name: str, now_us: int) -> api.RosterUpdate:
+    def end_maintenance(self, name: str, now_us: int) -> api.RosterUpdate:
         """Ends maintenance of a server.
 
         It counts as started now, hence cold, unless the list shows that it has restarted since maintenance
--- a/arrowfold/transport/budget.py
+++ b/arrowfold/transport/budget.py
@@ -16,12 +16,12 @@
     def __init__(self, limit: int) -> None:
         self.limit, self.clients, self.servers = limit, 0, 0
         # Called in this order; each closes an idle connection and returns whether there was one.
-        self.sheds: list[Callable[[], bool]] = []
+        self.idle_closers: list[Callable[[], bool]] = []
 
     def resize(self, limit: int) -> None:
         """Changes the maximum and closes idle connections above it."""
         self.limit = limit
-        while self.clients + self.servers > self.limit and any(close() for close in self.sheds):
+        while self.clients + self.servers > self.limit and any(close() for close in self.idle_closers):
             pass
 
     def max_clients(self) -> int:
@@ -33,7 +33,7 @@
 
     def can_open_server_connection(self) -> bool:
         """Returns whether one more connection to a server may be opened; closes an idle one if necessary."""
-        return self.clients + self.servers < self.limit or any(close() for close in self.sheds)
+        return self.clients + self.servers < self.limit or any(close() for close in self.idle_closers)
 
 
 class ConnectionQuota(Protocol):
--- a/arrowfold/transport/pool.py
+++ b/arrowfold/transport/pool.py
@@ -7,7 +7,7 @@
 
 from arrowfold.transport.budget import Budget
 from arrowfold.transport.loop import ZERO, Loop, Steps
-from arrowfold.transport.stream import Address, Broken, Stream, connect
+from arrowfold.transport.stream import Address, Stream, StreamBroken, connect
 
 # Time between the answer to a job and the connection's next request. If a server answers twice, the second
 # answer then arrives while the connection is idle, instead of being read as the answer to another request.
@@ -15,7 +15,7 @@
 MIN_IDLE_LIFETIME = timedelta(milliseconds=100)  # a connection closed sooner was not closed for being idle
 
 
-class NoRoom(Broken):
+class ConnectionLimitReached(StreamBroken):
     """Every connection that this process may hold is in use; the server is not at fault."""
 
 
@@ -25,7 +25,7 @@
     def __init__(self, budget: Budget) -> None:
         self.budget = budget
         self.open: list[Pool] = []
-        budget.sheds.append(self.drop_oldest)
+        budget.idle_closers.append(self.drop_oldest)
 
     def drop_oldest(self) -> bool:
         """Closes the connection that has been idle longest; returns whether there was one."""
@@ -37,7 +37,7 @@
     """Connections to one address; a connection carries one request at a time."""
 
     def __init__(self, loop: Loop, address: Address, idle: timedelta, pools: Pools) -> None:
-        self.loop, self.address, self.idle_span = loop, address, idle
+        self.loop, self.address, self.idle_limit = loop, address, idle
         self.pools, self.budget = pools, pools.budget
         self.idle: deque[tuple[timedelta, Stream]] = deque()
         self.reusable_at: dict[Stream, timedelta] = {}  # idle connections not to be used before a time
@@ -48,7 +48,7 @@
         pools.open.append(self)
 
     def take(self, until: timedelta) -> Steps[Stream]:
-        """Returns an open idle connection or else a new one; raises Broken if none can be opened."""
+        """Returns an open idle connection or else a new one; raises StreamBroken if none can be opened."""
         now = self.loop.now()
         for place in reversed(range(len(self.idle))):
             since, stream = self.idle[place]
@@ -60,7 +60,7 @@
                 return stream
             self.drop(stream)
         if not self.budget.can_open_server_connection():
-            raise NoRoom("every connection that this process may hold is in use")
+            raise ConnectionLimitReached("every connection that this process may hold is in use")
         self.budget.servers += 1
         try:
             stream = yield from connect(self.loop, self.address, until)
@@ -82,7 +82,7 @@
         self.idle.append((self.loop.now(), stream))
         if not self.sweep_scheduled:
             self.sweep_scheduled = True
-            self.loop.call_later(self.idle_span / 4, self._sweep)
+            self.loop.call_later(self.idle_limit / 4, self._sweep)
 
     def drop(self, stream: Stream) -> None:
         """Closes a connection of this pool."""
@@ -114,7 +114,7 @@
     def _is_open(stream: Stream) -> bool:
         try:
             return stream.try_read() is None
-        except Broken:
+        except StreamBroken:
             return False
 
     def _discard_idle(self, stream: Stream) -> None:
@@ -133,12 +133,12 @@
         server closes the connection ends in a reset.
         """
         return (
-            min(self.idle_span, min(self.idle_lifetimes) * 0.8) if self.idle_lifetimes else self.idle_span)
+            min(self.idle_limit, min(self.idle_lifetimes) * 0.8) if self.idle_lifetimes else self.idle_limit)
 
     def _sweep(self) -> None:
         self.sweep_scheduled = False
-        while self.idle and self.loop.now() - self.idle[0][0] >= self.idle_span * 0.7:
+        while self.idle and self.loop.now() - self.idle[0][0] >= self.idle_limit * 0.7:
             self.drop_oldest()
         if self.idle:
             self.sweep_scheduled = True
-            self.loop.call_later(self.idle_span / 4, self._sweep)
+            self.loop.call_later(self.idle_limit / 4, self._sweep)
--- a/arrowfold/transport/stream.py
+++ b/arrowfold/transport/stream.py
@@ -21,11 +21,11 @@
 ACCEPT_RETRY_DELAY = timedelta(milliseconds=50)
 
 
-class Broken(Exception):
+class StreamBroken(Exception):
     """The connection broke or could not be established."""
 
 
-class Late(Exception):
+class TimedOut(Exception):
     """An operation exceeded its deadline."""
 
 
@@ -63,13 +63,13 @@
     def try_read(self, max_bytes: int = READ_BYTES) -> bytes | None:
         """Returns received bytes, empty bytes at the end of the stream, or None if nothing is available."""
         if self.closed:
-            raise Broken("connection closed locally")
+            raise StreamBroken("connection closed locally")
         try:
             return self.sock.recv(max_bytes)
         except (BlockingIOError, InterruptedError):
             return None
         except OSError as error:
-            raise Broken(str(error)) from error
+            raise StreamBroken(str(error)) from error
 
     def quiet(self) -> bool:
         """Returns whether nothing is waiting to be read.
@@ -85,7 +85,7 @@
         return False
 
     def read(self, until: timedelta | None = None) -> Steps[bytes]:
-        """Returns the next bytes, empty at the end of the stream; raises Late after `until`."""
+        """Returns the next bytes, empty at the end of the stream; raises TimedOut after `until`."""
         while True:
             if self.burst >= MAX_BURST_BYTES:
                 # A peer that sends without end must not keep other tasks and timers from running.
@@ -96,7 +96,7 @@
                 self.burst += len(data)
                 return data
             if until is not None and self.loop.now() >= until:
-                raise Late("no data received before the deadline")
+                raise TimedOut("no data received before the deadline")
             yield from self.wait_readable(until)
 
     def wait_readable(self, until: timedelta | None = None) -> Steps[None]:
@@ -108,20 +108,20 @@
             self.reader = None
 
     def write(self, data: bytes, until: timedelta | None = None) -> Steps[None]:
-        """Passes all bytes to the kernel; raises Broken, or Late if `until` passes before."""
+        """Passes all bytes to the kernel; raises StreamBroken, or TimedOut if `until` passes before."""
         rest = memoryview(data)
         while rest:
             if self.closed:
-                raise Broken("connection closed locally")
+                raise StreamBroken("connection closed locally")
             try:
                 rest = rest[self.sock.send(rest):]
                 continue
             except (BlockingIOError, InterruptedError):
                 pass
             except OSError as error:
-                raise Broken(str(error)) from error
+                raise StreamBroken(str(error)) from error
             if until is not None and self.loop.now() >= until:
-                raise Late("no data accepted by the peer before the deadline")
+                raise TimedOut("no data accepted by the peer before the deadline")
             self.writer = self.loop.current
             try:
                 yield from self.loop.park(until)
@@ -165,20 +165,20 @@
 
 
 def connect(loop: Loop, address: Address, until: timedelta) -> Steps[Stream]:
-    """Returns an established connection, or raises Broken."""
+    """Returns an established connection, or raises StreamBroken."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     except OSError as error:
-        raise Broken(str(error)) from error
+        raise StreamBroken(str(error)) from error
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
     except OSError as error:
         sock.close()
-        raise Broken(str(error)) from error
+        raise StreamBroken(str(error)) from error
     if code not in (0, errno.EINPROGRESS):
         sock.close()
-        raise Broken(errno.errorcode.get(code, str(code)))
+        raise StreamBroken(errno.errorcode.get(code, str(code)))
     stream = Stream(loop, sock, connected=code == 0)
     try:
         while not stream.connected:
@@ -189,13 +189,13 @@
                 stream.writer = None
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
-                raise Broken(errno.errorcode.get(code, str(code)))
+                raise StreamBroken(errno.errorcode.get(code, str(code)))
             try:
                 sock.getpeername()
                 stream.connected = True
             except OSError as error:
                 if loop.now() >= until:
-                    raise Broken("connection not established before the deadline") from error
+                    raise StreamBroken("connection not established before the deadline") from error
     except BaseException:
         stream.close()
         raise
--- a/benchmarks/capacity/watches.py
+++ b/benchmarks/capacity/watches.py
@@ -38,7 +38,7 @@
     def await_list(self) -> None:
         self.listed = False
 
-    def list_holds(self) -> None:
+    def list_confirmed(self) -> None:
         self.listed = True
 
     def list_servers(self, source: str, rows: Iterable[Any], mode: api.RosterMode = api.RosterMode.PARTIAL,
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -114,15 +114,15 @@
             return table.change("list", [(entry, nobody)]).entries[0]  # type: ignore[list-item]
 
         change(5)
-        table.take_out("w")
+        table.start_maintenance("w")
         self.assertEqual(change(5).lifecycle, api.Lifecycle.TERMINATING)
-        (back,) = table.bring_back("w", 70).entries
+        (back,) = table.end_maintenance("w", 70).entries
         self.assertEqual((back.lifecycle, back.launched_us), (api.Lifecycle.IN_SERVICE, 70))
         self.assertEqual(
             [change(5).launched_us, change(60).launched_us, change(60).launched_us], [70, 60, 60])
-        table.take_out("w")
+        table.start_maintenance("w")
         change(90)
-        self.assertEqual(table.bring_back("w", 99).entries[0].launched_us, 90)
+        self.assertEqual(table.end_maintenance("w", 99).entries[0].launched_us, 90)
 
 
 class Standby(EdgeCase):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -321,7 +321,7 @@
 class ReuseDelay(Idling):
     def test_a_connection_that_carried_a_job_is_not_reused_at_once(self) -> None:
         """A late second answer that consists of a status alone can't be assigned to a job."""
-        self.pool.budget.sheds.clear()  # the connection must not be closed to open another
+        self.pool.budget.idle_closers.clear()  # the connection must not be closed to open another
         connection: Any = self.idle(0, rest=REST)
         self.assertIsNone(self.reused())
         self.clock.time += REST
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -133,7 +133,7 @@
         for name in (other, mine):
             self.assertTrue(core.table.known(name))
             server = core.table.find(name)
-            core._tell_list(core.table.take_out(name))
+            core._publish_list(core.table.start_maintenance(name))
             self.assertFalse(core.table.serves(name, server))  # type: ignore[arg-type]
         self.assertFalse(core.module.workers[mine].serving)
         self.assertNotIn(other, core.module.workers)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -59,7 +59,7 @@
 
     def session(self, trace: TraceFile, name: str) -> None:
         session = Session(Job(name, "search", 1005 * SECOND), None)  # type: ignore[arg-type]
-        trace.taken(session)
+        trace.session_started(session)
         dispatch = Dispatch(session, 0, "s1", None, self.loop.now(), lambda *_: None)  # type: ignore[arg-type]
         trace.dispatched(dispatch)
         trace.progressed(dispatch, None)
@@ -68,11 +68,11 @@
 
     def test_a_written_trace_is_read_back(self) -> None:
         trace = self.trace()
-        trace.settled(api.Settings((api.RequestClass("search", 1, 1, kind="k"),), cold_us=9_000_000))
+        trace.settings_changed(api.Settings((api.RequestClass("search", 1, 1, kind="k"),), cold_us=9_000_000))
         trace.listed(api.RosterUpdate(api.RosterMode.COMPLETE, (
             api.RosterEntry("s1", "z", "k", launched_us=5), api.RosterEntry("s2", "z", "k"))))
         trace.listed(api.RosterUpdate(api.RosterMode.COMPLETE, (api.RosterEntry("s1", "z", "k"),)))
-        trace.called("s1", True)
+        trace.maintenance_changed("s1", True)
         self.session(trace, "a")
         trace.close()
         history, dropped = read_history(self.path)
