--- a/arrowfold/program/node.py
+++ b/arrowfold/program/node.py
@@ -121,7 +121,7 @@
     def _handle_command(self, call: Call) -> Steps[str]:
         """Executes an operator's command and returns its confirmation; the command is in effect by then."""
         if call.name == "status":
-            if (why := self.front.why_not_ready()) is not None:
+            if (why := self.front.not_ready_reason()) is not None:
                 raise Refused(f"not ready: {why}")
             in_maintenance = sorted(self.core.table.out)
             return f"ready; in maintenance: {', '.join(in_maintenance) or 'none'}"
@@ -156,9 +156,9 @@
         elif name == "maint-off":
             self.core.end_maintenance(argument)
         else:
-            self.front.stand_by(name == "standby")
+            self.front.set_standby(name == "standby")
             if self.faktory is not None:
-                self.faktory.stand_by(name == "standby")
+                self.faktory.set_standby(name == "standby")
 
     def _report_fault(self, where: str, error: BaseException) -> None:
         self.counters["faults"] += 1
@@ -262,9 +262,9 @@
         """Stops accepting once the successor serves; the process ends when its open requests are answered."""
         if not self.front.retired:
             self.log("retires")
-            self.front.retire()
+            self.front.stop_accepting()
             if self.faktory is not None:
-                self.faktory.retire()
+                self.faktory.stop_accepting()
 
     def run(self) -> int:
         """Serves until a signal arrives and all open requests are answered. Returns the exit code."""
@@ -354,12 +354,12 @@
         self.running_config, self.idle_timeout = updated, _idle_timeout(updated.settings)
         self.classes.clear()
         self.classes.update({c.name: c for c in updated.settings.classes})
-        self.load_reader.learn(updated.load_report_fields)
+        self.load_reader.set_field_names(updated.load_report_fields)
         self.discovery.limit(self.idle_timeout, updated.connect_timeout)
         if updated.discovery is not None and updated.discovery != self.discovery.address:
             self.log("reload_discovery", address=f"{updated.discovery[0]}:{updated.discovery[1]}")
-            self.discovery.move(updated.discovery)
-        self.discovery.follow_pushed()
+            self.discovery.change_address(updated.discovery)
+        self.discovery.ensure_agent_watch()
 
     def _change_quotas(self, updated: Config) -> None:
         """Applies a changed quota tree; balances are kept by path."""
@@ -374,7 +374,7 @@
         self.close_began_at = self.loop.now()
         self.front.leave()
         if self.faktory is not None and not self.front.retired:
-            self.faktory.quieting = True
+            self.faktory.drains_workers = True
 
     def _stop_when_idle(self) -> None:
         """Ends once every request is answered and clients have left, at the latest before SIGKILL."""
@@ -383,7 +383,7 @@
         # Until a starting successor serves, only this process can serve new clients.
         is_idle = not self.core.owed and not self.succession.has_starting_successor \
             and not self.front.busy(IDLE_FRONT_TIME)
-        is_idle = is_idle and not (self.faktory and self.faktory.producers_owed())
+        is_idle = is_idle and not (self.faktory and self.faktory.has_unwritten_answers())
         if is_idle and not self.front.leaving:
             self._begin_closing_clients()
             self.loop.call_later(QUIET_NOTICE, self._stop_when_idle)
@@ -406,7 +406,7 @@
         self.core.fail_all()
         yield from self.loop.turn()
         while self.loop.now() < deadline and (
-                self.front.unsettled() or (self.faktory is not None and self.faktory.producers_owed())):
+                self.front.has_work() or (self.faktory is not None and self.faktory.has_unwritten_answers())):
             yield from self.loop.sleep(DRAIN_POLL_INTERVAL / 4)
         self.loop.stopping = True
 
--- a/arrowfold/program/quota_commands.py
+++ b/arrowfold/program/quota_commands.py
@@ -38,7 +38,7 @@
 
 
 def _format_level(gate: Gate, path: tuple[str, ...], level: Level) -> Iterator[str]:
-    limits = [f"{limit.words()} (here {gate.ledger.part(limit) / UNIT[limit.resource]:g})"
+    limits = [f"{limit.as_text()} (here {gate.ledger.part(limit) / UNIT[limit.resource]:g})"
               for limit in level.limits]
     extra = [f"borrows with weight {level.weight:g}"] if level.borrow else []
     extra += [f"classes {', '.join(sorted(level.classes))}"] if level.classes else []
@@ -79,7 +79,7 @@
             retry_after = (
                 f"; back after {admission.after.total_seconds():.3f} s"
                 if admission.after is not None else "")
-            yield f"{prefix}: denied, {admission.words()}{retry_after}"
+            yield f"{prefix}: denied, {admission.as_text()}{retry_after}"
             continue
         borrowed = any(account.borrowed and account.debt[n] for account, *_ in admission.charges
                        for n in range(len(account.debt)))
--- a/arrowfold/protocol/discovery.py
+++ b/arrowfold/protocol/discovery.py
@@ -148,7 +148,7 @@
                 self.counters["discovery_unheard"] += 1
             self.core.list_confirmed()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Switch to another address of the discovery service."""
         self.address, self.awaits_new_address = address, True
         self.update_due_until = self.loop.now() + UPDATE_DUE_AFTER_MOVE
@@ -172,7 +172,7 @@
         else:
             self.watch = self.loop.spawn(self._call(True), "discovery watch")
 
-    def follow_pushed(self) -> None:
+    def ensure_agent_watch(self) -> None:
         """Open a watch at the agent if the settings name one that pushes lists and no watch is open."""
         if not self.core.settings.roster_on_request and self.watch is None and self.next_watch is None:
             self.ask(True)
--- a/arrowfold/protocol/faktory.py
+++ b/arrowfold/protocol/faktory.py
@@ -32,7 +32,7 @@
     result_bytes,
     worker_fields,
 )
-from arrowfold.protocol.load import said_fetches
+from arrowfold.protocol.load import reported_fetches
 from arrowfold.protocol.waiting import AnswerReceiver
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import Job, Verdict
@@ -80,14 +80,14 @@
         self.workers = Workers(loop, core, zone, fetch_limit, counters)
         self.peers: set[Peer] = set()
         self.started = loop.now()
-        self.quieting = self.standby = self.retired = self.is_closing_idle = False
+        self.drains_workers = self.standby = self.retired = self.is_closing_idle = False
         self.listener = Listener(loop, address, ClientShare(budget, share), self._accepted, sock=sock)
         self.handlers: dict[str, Callable[[Peer, Any], Steps[bytes]]] = {
             "PUSH": self._push, "FETCH": self._fetch, "ACK": self._ack, "FAIL": self._fail,
             "BEAT": self._beat, "INFO": self._info,
         }
 
-    def stand_by(self, standby: bool) -> None:
+    def set_standby(self, standby: bool) -> None:
         """Enter standby, where producers are disconnected after their answers, or leave it.
 
         Workers stay connected, since open jobs need them.
@@ -104,7 +104,7 @@
         """Begin accepting clients."""
         self.listener.open()
 
-    def retire(self) -> None:
+    def stop_accepting(self) -> None:
         """Stop accepting, as another process does so.
 
         Producers are disconnected after their answers, workers when no answer is due any more.
@@ -131,7 +131,7 @@
                 peer.commands.stream.close()  # its suspended task finds it closed
         self.loop.call_later(STANDBY_CLOSE_INTERVAL, self._close_idle)
 
-    def producers_owed(self) -> bool:
+    def has_unwritten_answers(self) -> bool:
         """Whether an answer is still to be written to a producer."""
         return any(peer.answered is not None for peer in self.peers)
 
@@ -328,7 +328,7 @@
 
     def _ack(self, peer: Peer, fields: dict[str, Any]) -> Steps[bytes]:
         body = result_bytes(fields.get("result"))
-        self._worker(peer, "ACK").finish(_jid(fields, "ACK"), api.Status.OK, body, said_fetches(fields))
+        self._worker(peer, "ACK").finish(_jid(fields, "ACK"), api.Status.OK, body, reported_fetches(fields))
         return OK
         yield
 
@@ -345,7 +345,7 @@
         state = fields.get("current_state") or ""
         if state not in ("", "quiet", "terminate"):
             raise CommandError("BEAT: current_state is neither quiet nor terminate")
-        quieted = self.quieting and not self.core.owed  # workers are needed while an answer is due
+        quieted = self.drains_workers and not self.core.owed  # workers are needed while an answer is due
         if state or quieted:
             self.workers.drain(worker)
         return bulk_reply({"state": "quiet"}) if quieted and not state else OK
--- a/arrowfold/protocol/front.py
+++ b/arrowfold/protocol/front.py
@@ -192,7 +192,7 @@
         """Report as not ready ahead of a planned restart, but go on accepting and serving."""
         self.draining = True
 
-    def stand_by(self, standby: bool) -> None:
+    def set_standby(self, standby: bool) -> None:
         """Enter standby, where connections are closed after their answers, or leave it."""
         self.standby = standby
         self._schedule_idle_close()
@@ -207,7 +207,7 @@
         self.starting = False
         self.listener.open()
 
-    def retire(self) -> None:
+    def stop_accepting(self) -> None:
         """Stop accepting, as another process of this node does so; serve the open connections' requests."""
         self.listener.close()
         self.draining = self.retired = True
@@ -239,7 +239,7 @@
         """End within moments: deny new requests at once, so that clients can retry elsewhere."""
         self.leaving = self.finishing = True
 
-    def unsettled(self) -> bool:
+    def has_work(self) -> bool:
         """Whether an answer is still being written, or a request still waits to be answered."""
         known = len(self.connections)
         self.listener.retry()  # accepts connections that the kernel has queued
@@ -383,7 +383,7 @@
             else STATUS_OVER_QUOTA if answer.over_quota else _STATUSES[answer.verdict]
         return (yield from self._reply(side, status, body, headers))
 
-    def why_not_ready(self) -> str | None:
+    def not_ready_reason(self) -> str | None:
         """Returns the reason why the node is not ready; None if it is."""
         if self.starting:
             return "it is starting"
@@ -398,7 +398,7 @@
     def _status_page(self, path: str) -> tuple[int, bytes]:
         """Returns status and body of a status page."""
         if path == "/health/ready":
-            why = self.why_not_ready()
+            why = self.not_ready_reason()
             return (200, b"ready\n") if why is None else (503, f"not ready: {why}\n".encode())
         if path == "/health/live":
             return 200, b"live\n"
--- a/arrowfold/protocol/load.py
+++ b/arrowfold/protocol/load.py
@@ -15,7 +15,7 @@
 }
 
 
-def said_fetches(row: Mapping[str, Any]) -> float | None:
+def reported_fetches(row: Mapping[str, Any]) -> float | None:
     """Returns `index_fetches` of a result, the worker's fetches from the index; None if absent or invalid."""
     count = row.get("index_fetches")
     if isinstance(count, bool) or not isinstance(count, int | float) or not 0 <= count < math.inf:
@@ -28,9 +28,9 @@
 
     def __init__(self, meanings: Mapping[str, str]) -> None:
         self.fields: Mapping[str, str] = {}
-        self.learn(meanings)
+        self.set_field_names(meanings)
 
-    def learn(self, meanings: Mapping[str, str]) -> None:
+    def set_field_names(self, meanings: Mapping[str, str]) -> None:
         """Set the settings' names of fields."""
         self.fields = {**_FIELDS, **meanings}
 
--- a/arrowfold/protocol/worker.py
+++ b/arrowfold/protocol/worker.py
@@ -11,7 +11,7 @@
 
 from arrowfold import interface as api
 from arrowfold.protocol.http import ClientSide, Request
-from arrowfold.protocol.load import LoadReader, said_fetches
+from arrowfold.protocol.load import LoadReader, reported_fetches
 from arrowfold.routing.session import Dispatch, Job, Probe, to_us
 from arrowfold.transport.loop import ZERO, Loop, Steps
 from arrowfold.transport.pool import REST, ConnectionLimitReached, Pool, Pools
@@ -176,7 +176,7 @@
                 load = self.loads.from_object(row["load"])
             result = row.get("result", "")
             body = result if isinstance(result, str) else json.dumps(result)
-            dispatch.ended(_FINAL_STATUSES[state], body.encode(), load, said_fetches(row))
+            dispatch.ended(_FINAL_STATUSES[state], body.encode(), load, reported_fetches(row))
 
     def _header_load(self, headers: dict[str, str]) -> api.LoadReport | None:
         text = headers.get("endpoint-load-metrics")
--- a/arrowfold/quotas/accounts.py
+++ b/arrowfold/quotas/accounts.py
@@ -23,12 +23,12 @@
     limit: Limit
     after: timedelta | None  # None: never, since the job costs more than the whole limit
 
-    def words(self) -> str:
+    def as_text(self) -> str:
         """Returns the reason for the client."""
         level = "/".join(self.path) or "jobs without a tenant"
         if self.after is None:
-            return f"quota of {level}: one job costs more than {self.limit.words()}"
-        return f"quota of {level}: {self.limit.words()}"
+            return f"quota of {level}: one job costs more than {self.limit.as_text()}"
+        return f"quota of {level}: {self.limit.as_text()}"
 
 
 class Account:
@@ -86,7 +86,7 @@
             loans = self.borrowed[number] if self.borrowed else None
             borrowed = loans.limit - loans.free_amount(now_us) if loans is not None else 0
             unit = UNIT[limit.resource]
-            texts.append(f"{limit.words()}: used {(window.limit - window.free_amount(now_us)) / unit:g} of "
+            texts.append(f"{limit.as_text()}: used {(window.limit - window.free_amount(now_us)) / unit:g} of "
                          f"{window.limit / unit:g}, borrowed {borrowed / unit:g}, "
                          f"owes {self.debt[number] / unit:g}")
         return texts
--- a/arrowfold/quotas/contradictions.py
+++ b/arrowfold/quotas/contradictions.py
@@ -28,19 +28,19 @@
         part = limit.amount * min(1.0, tree.stretch / nodes) if nodes > 1 else limit.amount
         job_cost = _min_job_cost(level, limit, means)
         if part < job_cost:
-            yield (f"{where}: {limit.words()}: no single job fits in it" + (
+            yield (f"{where}: {limit.as_text()}: no single job fits in it" + (
                 f" at a node, of which there are {nodes}" if limit.amount >= job_cost else ""))
         for child_name, child in sorted(level.children.items()):
             longer = [own for own in child.limits
                       if own.resource is limit.resource and own.per > _longest_window(level, limit.resource)]
             if limit.per == _longest_window(level, limit.resource):
                 for own in longer:
-                    yield (f"{where}/{child_name}: {own.words()}: a window longer than any of {where}'s, "
+                    yield (f"{where}/{child_name}: {own.as_text()}: a window longer than any of {where}'s, "
                            f"so nothing of it can be borrowed or compared")
         shares = [(name, own) for name, child in sorted(level.children.items()) for own in child.limits
                   if own.resource is limit.resource and own.per == limit.per]
         if sum(own.amount for _, own in shares) > limit.amount:
-            yield (f"{where}: {limit.words()}: its children's shares add up to "
+            yield (f"{where}: {limit.as_text()}: its children's shares add up to "
                    f"{sum(own.amount for _, own in shares) / UNIT[limit.resource]:g} "
                    f"({', '.join(name for name, _ in shares)}), so not all of them are kept")
     if level.borrow and not level.limits:
--- a/arrowfold/quotas/gate.py
+++ b/arrowfold/quotas/gate.py
@@ -69,11 +69,11 @@
             self._recent_keys.popitem(last=False)
         return 0 if known else FETCH_COST
 
-    def said_fetches(self, count: float) -> int:
+    def reported_fetches(self, count: float) -> int:
         """Returns the cost of the number of fetches that a worker has reported."""
         return int(min(count, MAX_REPORTED_FETCHES) * FETCH_COST)
 
-    def ran(self, request_class: str, span: timedelta) -> None:
+    def record_run(self, request_class: str, span: timedelta) -> None:
         """Update the mean run time of a class by one run."""
         span_us = span // MICROSECOND
         mean = self.mean_run_us.setdefault(request_class, float(span_us))
--- a/arrowfold/quotas/tree.py
+++ b/arrowfold/quotas/tree.py
@@ -35,7 +35,7 @@
     amount: int
     per: timedelta
 
-    def words(self) -> str:
+    def as_text(self) -> str:
         """Returns the limit as text, such as `worker-time 10 s per 60 s`."""
         amount = self.amount / UNIT[self.resource]
         unit = " s" if self.resource is Resource.WORKER_TIME else ""
--- a/arrowfold/routing/core.py
+++ b/arrowfold/routing/core.py
@@ -228,7 +228,7 @@
                 case Ended(dispatch, status, body, load, fetched) if not dispatch.has_ended:
                     self._close(dispatch)
                     if self.quotas is not None and fetched is not None:
-                        dispatch.fetches = self.quotas.said_fetches(fetched)
+                        dispatch.fetches = self.quotas.reported_fetches(fetched)
                     if status is api.Status.OK:
                         self._answer(session, Answer(Verdict.SERVED, body))
                     # The dispatcher decides whether to retry, queue or fail the request.
@@ -395,7 +395,7 @@
         self.counters["quotas_denied"] += 1
         retry_after = found.after if self.settings.retry_after else None
         self._answer(session, Answer(
-            Verdict.DENIED, retry_after=retry_after, reason=found.words(), over_quota=True))
+            Verdict.DENIED, retry_after=retry_after, reason=found.as_text(), over_quota=True))
         return False
 
     def _dispatch(self, session: Session, order: api.Send) -> None:
@@ -465,7 +465,7 @@
             span = self.clock.now() - dispatch.started_at
             session.worker_time += span * session.job.slots
             if status is api.Status.OK:
-                self.quotas.ran(session.job.request_class, span)
+                self.quotas.record_run(session.job.request_class, span)
         self._consult(api.AttemptEnded(
             session.job.id, dispatch.number, dispatch.server_name, status, elapsed, session.answered, load))
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -182,7 +182,7 @@
         self.assertEqual([is_admitted(ledger, "o/a", 0) for _ in range(5)], [True, True, False, False, False])
         self.assertEqual([is_admitted(ledger, "o/b", 0) for _ in range(9)], [True] * 8 + [False])
         found = refused(ledger, "o/b", 0)
-        self.assertEqual((found.path, found.words()), (("o",), "quota of o: requests 10 per 1 s"))
+        self.assertEqual((found.path, found.as_text()), (("o",), "quota of o: requests 10 per 1 s"))
 
     def test_every_window_counts_and_the_longest_wait_is_returned(self) -> None:
         ledger = Ledger(org(limit(2), limit(3, 60)))
@@ -203,7 +203,7 @@
         ledger = Ledger(org(limit(SECOND, 10, T)))
         found = refused(ledger, "o", 0, {T: SECOND + 1})
         self.assertIsNone(found.after)
-        self.assertIn("one job costs more", found.words())
+        self.assertIn("one job costs more", found.as_text())
         self.assertTrue(is_admitted(ledger, "o", 0, {T: SECOND}))
         none = Ledger(org(limit(0)))
         self.assertIsNone(refused(none, "o", 0).after)
