--- a/arrowfold/program/trial.py
+++ b/arrowfold/program/trial.py
@@ -54,7 +54,7 @@
                 Path(folder), [worker.row() for worker in workers], discovery=discovery.address,
                 edge=DOCUMENT.format(port=port), settings={**SETTINGS, "classes": classes})
             try:
-                eventually(lambda: node.answers_ready() == 200)
+                eventually(lambda: node.readiness_status() == 200)
                 self.print_line(f"a node on 127.0.0.1:{node.port} (HTTP) and 127.0.0.1:{port} (Faktory), "
                                 f"{len(workers)} stand-in search workers, a stand-in discovery")
                 answered = sum(
--- a/arrowfold/standins/door.py
+++ b/arrowfold/standins/door.py
@@ -8,18 +8,18 @@
 import struct
 from typing import Any
 
-from arrowfold.standins.servers import LONG
+from arrowfold.standins.servers import TIMEOUT_S
 
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 NEVER_RAN = b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class Peer:
+class ServerConnection:
     """One accepted connection, from the server's side; `read` holds received bytes not yet consumed."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.settimeout(LONG)
+        sock.settimeout(TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.read = b""
 
@@ -47,7 +47,7 @@
             raise EOFError("the node has closed this connection")
         self.read += data
 
-    def ended(self) -> bool:
+    def wait_until_closed(self) -> bool:
         """Wait until the node closes the connection, keeping what it sends before that; returns True."""
         try:
             while True:
@@ -59,20 +59,20 @@
         """Returns whether the node neither sends anything nor closes the connection for `seconds`."""
         return not self.read and not select.select([self.sock], [], [], seconds)[0]
 
-    def say(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         """Send bytes to the node."""
         self.sock.sendall(data)
 
     def chunk(self, value: object, indent: int | None = None) -> None:
         """Send one chunk of a chunked answer: a line of JSON, or an empty line for None."""
         data = (b"" if value is None else json.dumps(value, indent=indent).encode()) + b"\n"
-        self.say(b"%x\r\n%s\r\n" % (len(data), data))
+        self.send_bytes(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def done(self, job: str, result: str = "r", end: bytes = b"0\r\n\r\n", **more: Any) -> None:
+    def send_result(self, job: str, result: str = "r", end: bytes = b"0\r\n\r\n", **more: Any) -> None:
         """Send a whole answer that ends a job; `end` replaces the last chunk, `more` adds fields."""
-        self.say(WATCH_HEAD)
+        self.send_bytes(WATCH_HEAD)
         self.chunk({"id": job, "state": "done", "result": result, **more})
-        self.say(end)
+        self.send_bytes(end)
 
     def reset(self) -> None:
         """Close the connection with a TCP reset."""
@@ -83,7 +83,7 @@
         self.sock.close()
 
 
-class Door:
+class ManualServer:
     """A listening socket whose connections a test accepts one by one.
 
     With `fill_backlog`, its backlog is full, so that no connection is even established before `open`.
@@ -96,9 +96,9 @@
         self.sock.bind(("127.0.0.1", 0))
         self.address = "{}:{}".format(*self.sock.getsockname())
         self._backlog_fillers: list[socket.socket] = []  # the last one is not established
-        self.peers: list[Peer] = []
+        self.peers: list[ServerConnection] = []
         self.sock.listen(0 if fill_backlog else 64)
-        self.sock.settimeout(LONG)
+        self.sock.settimeout(TIMEOUT_S)
         while fill_backlog:
             # The kernel drops SYNs while the backlog is full, so the first connection that stays half open
             # shows that it is.
@@ -108,9 +108,9 @@
             self._backlog_fillers.append(sock)
             fill_backlog = bool(select.select([], [sock], [], 0.1)[1])
 
-    def accept(self) -> Peer:
+    def accept(self) -> ServerConnection:
         """Wait for the next connection and accept it."""
-        peer = Peer(self.sock.accept()[0])
+        peer = ServerConnection(self.sock.accept()[0])
         self.peers.append(peer)
         return peer
 
--- a/arrowfold/standins/process.py
+++ b/arrowfold/standins/process.py
@@ -12,16 +12,16 @@
 from pathlib import Path
 from typing import Any
 
-from arrowfold.standins.servers import LONG, eventually, free_port
+from arrowfold.standins.servers import TIMEOUT_S, eventually, free_port
 
 ROOT = Path(__file__).parent.parent.parent
 
 
 def request_class(
-        name: str, effect: str = "safe", limit_ms: int = 20_000, aim_ms: int = 5000) -> dict[str, Any]:
+        name: str, effect: str = "safe", limit_ms: int = 20_000, objective_ms: int = 5000) -> dict[str, Any]:
     """Returns the settings of a class: its idempotency, hard limit and latency objective."""
     return {"group": "all", "hardLimitUs": limit_ms * 1000, "idempotency": effect, "importance": 1.0,
-            "lateShare": 0.2, "name": name, "onTimeUs": aim_ms * 1000, "stream": False,
+            "lateShare": 0.2, "name": name, "onTimeUs": objective_ms * 1000, "stream": False,
             "windowUs": 7_500_000}
 
 
@@ -74,7 +74,7 @@
             env={**environ, "EDGE_CONFIG": str(self.file), "TMPDIR": str(folder)},
             stderr=subprocess.PIPE, text=True)
         if wait:
-            eventually(lambda: self.answers_ready() is not None or self.process.poll() is not None)
+            eventually(lambda: self.readiness_status() is not None or self.process.poll() is not None)
 
     def reload(self, text: str | None = None, **changes: Any) -> None:
         """Replace the configuration file and send SIGHUP, without waiting for the effect."""
@@ -84,7 +84,7 @@
         new_file.replace(self.file)
         self.process.send_signal(signal.SIGHUP)
 
-    def answers_ready(self) -> int | None:
+    def readiness_status(self) -> int | None:
         """Returns the status of the readiness check; None without an answer."""
         try:
             return self.get("/health/ready")[0]
@@ -93,7 +93,7 @@
 
     def get(self, path: str) -> tuple[int, bytes]:
         """Send a GET request; returns the status and the body."""
-        connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=LONG)
+        connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=TIMEOUT_S)
         try:
             connection.request("GET", path)
             answer = connection.getresponse()
@@ -123,7 +123,7 @@
             if value is not None:
                 request_headers[header.replace("_", "-")] = value
         http_connection = (
-            connection or http.client.HTTPConnection("127.0.0.1", self.port, timeout=LONG))
+            connection or http.client.HTTPConnection("127.0.0.1", self.port, timeout=TIMEOUT_S))
         try:
             http_connection.request("POST", path or f"/{name}?key=repo", body, request_headers)
             answer = http_connection.getresponse()
@@ -140,20 +140,20 @@
 
     def call(self, line: str, end: bytes = b"\n") -> str:
         """Send a line to the admin port; returns the answer."""
-        with socket.create_connection(("127.0.0.1", self.admin), timeout=LONG) as sock:
+        with socket.create_connection(("127.0.0.1", self.admin), timeout=TIMEOUT_S) as sock:
             sock.sendall(line.encode() + end)
             return b"".join(iter(lambda: sock.recv(4096), b"")).decode()
 
     def raw(self, data: bytes) -> bytes:
         """Send bytes; returns all that is received until the node closes the connection."""
-        with socket.create_connection(("127.0.0.1", self.port), timeout=LONG) as sock:
+        with socket.create_connection(("127.0.0.1", self.port), timeout=TIMEOUT_S) as sock:
             sock.sendall(data)
             return b"".join(iter(lambda: sock.recv(65536), b""))
 
     def terminate(self) -> int:
         """Send SIGTERM and wait for the end; returns the exit code."""
         self.process.send_signal(signal.SIGTERM)
-        return self.process.wait(LONG)
+        return self.process.wait(TIMEOUT_S)
 
     def close(self) -> str:
         """Kill the process if it still runs; returns what it wrote to standard error."""
--- a/arrowfold/standins/producers.py
+++ b/arrowfold/standins/producers.py
@@ -7,28 +7,28 @@
 import socket
 from typing import Any
 
-from arrowfold.standins.servers import LONG
+from arrowfold.standins.servers import TIMEOUT_S
 
 
 class Client:
     """One Faktory connection, of a worker if it has a `wid` and of a producer otherwise.
 
-    `hi` holds the fields of the server's greeting and `greeted` its reply to HELLO.
+    `greeting` holds the fields of the server's greeting and `hello_reply` its reply to HELLO.
     """
 
     def __init__(self, port: int, wid: str | None = None, password: str | None = None, **hello: Any) -> None:
-        self.sock = socket.create_connection(("127.0.0.1", port), timeout=LONG)
+        self.sock = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
         self.lines = self.sock.makefile("rb")
-        self.hi = json.loads(self.lines.readline().removeprefix(b"+HI "))
+        self.greeting = json.loads(self.lines.readline().removeprefix(b"+HI "))
         fields: dict[str, Any] = {"v": 2, **hello}
         if wid is not None:
             fields["wid"] = wid
         if password is not None:
-            digest = (password + self.hi["s"]).encode()
-            for _ in range(self.hi["i"]):
+            digest = (password + self.greeting["s"]).encode()
+            for _ in range(self.greeting["i"]):
                 digest = hashlib.sha256(digest).digest()
             fields["pwdhash"] = digest.hex()
-        self.greeted = self.call("HELLO", fields)
+        self.hello_reply = self.call("HELLO", fields)
 
     def call(self, command: str, argument: object = None) -> Any:
         """Send a command; returns its reply as `reply` does."""
--- a/arrowfold/standins/servers.py
+++ b/arrowfold/standins/servers.py
@@ -19,16 +19,16 @@
 from typing import Any
 
 SLOW_JOB_S = 0.5
-LONG = 20.0  # timeout of each wait for something that must happen; no result depends on it
+TIMEOUT_S = 20.0  # timeout of each wait for something that must happen; no result depends on it
 LOAD = {"inflight": 1, "x0": 5}  # load report of a worker
 
 
-class Quiet(BaseHTTPRequestHandler):
+class QuietHandler(BaseHTTPRequestHandler):
     """A request handler that logs nothing and writes chunked bodies, one JSON value a chunk."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
-    cut = False  # whether each byte is written separately
+    writes_single_bytes = False  # whether each byte is written separately
 
     def log_message(self, *_: Any) -> None:
         pass
@@ -36,15 +36,15 @@
     def chunk(self, value: object) -> None:
         """Write one chunk: a line of JSON, or an empty line for None."""
         data = (json.dumps(value) if value is not None else "").encode() + b"\n"
-        self.say(b"%x\r\n%s\r\n" % (len(data), data))
+        self.send_bytes(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def say(self, data: bytes) -> None:
-        """Write bytes to the connection, one by one if `cut` is set."""
-        for part in [data[n:n + 1] for n in range(len(data))] if self.cut else [data]:
+    def send_bytes(self, data: bytes) -> None:
+        """Write bytes to the connection, one by one if `writes_single_bytes` is set."""
+        for part in [data[n:n + 1] for n in range(len(data))] if self.writes_single_bytes else [data]:
             self.wfile.write(part)
 
     def flush_headers(self) -> None:
-        self.say(b"".join(getattr(self, "_headers_buffer", [])))
+        self.send_bytes(b"".join(getattr(self, "_headers_buffer", [])))
         self._headers_buffer: list[bytes] = []
 
 
@@ -94,7 +94,7 @@
         self.release = threading.Event()
         outer = self
 
-        class Handler(Quiet):
+        class Handler(QuietHandler):
             def do_GET(self) -> None:
                 self.plain(200, json.dumps(outer.load).encode())
 
@@ -104,7 +104,7 @@
                     self.send_header(name.replace("_", "-"), value)
                 self.send_header("Content-Length", str(len(body)))
                 self.end_headers()
-                self.say(body)
+                self.send_bytes(body)
 
             def do_POST(self) -> None:
                 body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
@@ -112,7 +112,7 @@
                 outer.jobs.append((job, self.path, {k.lower(): v for k, v in self.headers.items()}, body))
                 outcome = behave(job, sum(row[0] == job for row in outer.jobs))
                 if outcome == "mute":
-                    outer.release.wait(LONG)
+                    outer.release.wait(TIMEOUT_S)
                     self.close_connection = True
                 elif outcome == 503:
                     self.plain(503, X_Never_Ran="1")
@@ -127,7 +127,7 @@
                         time.sleep(SLOW_JOB_S)
                         outcome = "done"
                     if outcome == "hold":
-                        outer.release.wait(LONG)
+                        outer.release.wait(TIMEOUT_S)
                         outcome = "done"
                     if outcome == "reset":
                         self.connection.shutdown(socket.SHUT_RDWR)
@@ -136,7 +136,7 @@
                     result = f"{outer.uid}:{job}"
                     self.chunk({"id": job, "from": outer.uid, "state": outcome, "result": result,
                                 "load": outer.load, **outer.said})
-                    self.say(b"0\r\n\r\n")
+                    self.send_bytes(b"0\r\n\r\n")
 
         super().__init__(Handler)
 
@@ -147,24 +147,24 @@
 
 
 class Discovery(Server):
-    """A stand-in discovery: sends the complete list first, then the changes that `tell` queues.
+    """A stand-in discovery: sends the complete list first, then the changes that `send_changes` queues.
 
-    With `held`, the list is not sent before `whole` is set. None in the queue `changes` ends a watch.
+    With `held`, the list is not sent before `list_released` is set. None in the queue `changes` ends a watch.
     """
 
     def __init__(self, rows: list[dict[str, Any]], held: bool = False, port: int = 0) -> None:
-        self.whole = threading.Event()
+        self.list_released = threading.Event()
         if not held:
-            self.whole.set()
+            self.list_released.set()
         self.asked: queue.Queue[str] = queue.Queue()  # paths of the requests received
         self.changes: queue.Queue[dict[str, Any] | None] = queue.Queue()
         self.revision = 1
         outer = self
 
-        class Handler(Quiet):
+        class Handler(QuietHandler):
             def do_GET(self) -> None:
                 outer.asked.put(self.path)
-                outer.whole.wait(LONG)
+                outer.list_released.wait(TIMEOUT_S)
                 self.send_response(200)
                 self.send_header("Transfer-Encoding", "chunked")
                 self.end_headers()
@@ -183,7 +183,7 @@
 
         super().__init__(Handler, port)
 
-    def tell(self, *rows: dict[str, Any]) -> None:
+    def send_changes(self, *rows: dict[str, Any]) -> None:
         """Queue a change of the list, under the next revision."""
         self.revision += 1
         self.changes.put({"rev": self.revision, "all": False, "targets": list(rows)})
@@ -202,8 +202,8 @@
 
 
 def eventually(condition: Callable[[], bool]) -> None:
-    """Wait until the condition is true; fails after LONG seconds."""
-    end = time.monotonic() + LONG
+    """Wait until the condition is true; fails after TIMEOUT_S seconds."""
+    end = time.monotonic() + TIMEOUT_S
     while not condition():
         assert time.monotonic() < end, "the condition did not become true in time"
         time.sleep(0.01)
--- a/tests/edge.py
+++ b/tests/edge.py
@@ -10,13 +10,37 @@
 from typing import Any
 
 from arrowfold.standins.process import ROOT, SETTINGS, Node, request_class
-from arrowfold.standins.servers import LOAD, LONG, Discovery, Quiet, Server, Worker, eventually, free_port
+from arrowfold.standins.servers import (
+    LOAD,
+    TIMEOUT_S,
+    Discovery,
+    QuietHandler,
+    Server,
+    Worker,
+    eventually,
+    free_port,
+)
 
-__all__ = ["LOAD", "LONG", "QUICK", "ROOT", "SETTINGS", "Discovery", "EdgeCase", "Node", "Quiet", "Server",
-           "Worker", "eventually", "free_port", "in_threads", "request_class"]
+__all__ = [
+    "LOAD",
+    "QUICK",
+    "ROOT",
+    "SETTINGS",
+    "TIMEOUT_S",
+    "Discovery",
+    "EdgeCase",
+    "Node",
+    "QuietHandler",
+    "Server",
+    "Worker",
+    "eventually",
+    "free_port",
+    "in_threads",
+    "request_class",
+]
 
 QUICK = {**SETTINGS, "permissions": {**SETTINGS["permissions"], "connectTimeoutUs": 250_000}, "classes": [
-    request_class("search", aim_ms=300), request_class("once", "unsafe", aim_ms=300)]}
+    request_class("search", objective_ms=300), request_class("once", "unsafe", objective_ms=300)]}
 
 
 class EdgeCase(unittest.TestCase):
@@ -59,5 +83,5 @@
     for thread in threads:
         thread.start()
     for thread in threads:
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
     yield from results
--- a/tests/system/test_process_signals.py
+++ b/tests/system/test_process_signals.py
@@ -19,7 +19,7 @@
 
 from arrowfold.node.process_signals import ProcessSignals
 from arrowfold.standins.process import SETTINGS as SERVICE_SETTINGS
-from arrowfold.standins.servers import LONG, free_port
+from arrowfold.standins.servers import TIMEOUT_S, free_port
 
 ROOT = Path(__file__).parent.parent.parent
 # From when the program handles signals until the first SIGTERM.
@@ -175,7 +175,7 @@
     handling: str, code: int
 ) -> None:
     script = LATE_SIGNAL.format(handling=SIGNAL_HANDLING[handling])
-    assert subprocess.run([sys.executable, "-c", script], cwd=ROOT, timeout=LONG).returncode == code
+    assert subprocess.run([sys.executable, "-c", script], cwd=ROOT, timeout=TIMEOUT_S).returncode == code
 
 
 class _ImmediateLoop:
@@ -207,7 +207,7 @@
         signals.handle(number)
     assert calls == ["reload", "end", "reload"]
     age_s = signals.termination_age_s()
-    assert age_s is not None and 0.0 <= age_s < LONG
+    assert age_s is not None and 0.0 <= age_s < TIMEOUT_S
 
 
 def test_given_a_closed_loop_then_signals_are_ignored() -> None:
--- a/tests/system/test_startup.py
+++ b/tests/system/test_startup.py
@@ -17,7 +17,7 @@
 from arrowfold.node.settings import NodeSettings
 from arrowfold.node.settings_path import SETTINGS_VARIABLE
 from arrowfold.programs.startup import SETTINGS_CHECK_INTERVAL_S, follow_settings, open_settings, run_node
-from arrowfold.standins.servers import LONG, eventually
+from arrowfold.standins.servers import TIMEOUT_S, eventually
 from tests.system.virtual_time import run_virtual
 
 SETTINGS = """
@@ -198,6 +198,6 @@
             assert process.poll() is None
             # And on SIGTERM it exits with success
             process.terminate()
-            assert process.wait(LONG) == 0
+            assert process.wait(TIMEOUT_S) == 0
         finally:
             process.kill()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,7 +10,7 @@
 
 from arrowfold import interface as api
 from arrowfold.routing.table import ServerTable
-from tests.edge import LONG, EdgeCase, eventually, free_port
+from tests.edge import TIMEOUT_S, EdgeCase, eventually, free_port
 from tests.field import SECOND, Recorder, roster, settings
 
 
@@ -30,11 +30,11 @@
     def test_a_line_may_arrive_in_parts_but_an_incomplete_command_does_nothing(self) -> None:
         """The beginning of a server's id may be the id of another server."""
         node = self.node(self.worker("s1"), self.worker("s12"))
-        with socket.create_connection(("127.0.0.1", node.admin), timeout=LONG) as sock:
+        with socket.create_connection(("127.0.0.1", node.admin), timeout=TIMEOUT_S) as sock:
             for byte in b"maint-on s12\r\n":
                 sock.sendall(bytes([byte]))
             self.assertEqual(sock.recv(100), b"ok maint-on s12\n")
-        with socket.create_connection(("127.0.0.1", node.admin), timeout=LONG) as sock:
+        with socket.create_connection(("127.0.0.1", node.admin), timeout=TIMEOUT_S) as sock:
             sock.sendall(b"maint-on s1")
             sock.shutdown(socket.SHUT_WR)
             self.assertTrue(sock.recv(100).startswith(b"fail "))
@@ -46,7 +46,7 @@
         with contextlib.ExitStack() as stack:
             for port, count in ((node.port, 150), (node.admin, 40)):
                 for n in range(count):
-                    sock = stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=LONG))
+                    sock = stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S))
                     if n % 2:
                         sock.sendall(b"st")
             for _ in range(5):
@@ -57,7 +57,7 @@
             taken.bind(("127.0.0.1", free_port()))
             taken.listen()
             node = self.node(self.worker("s1"), admin=f"127.0.0.1:{taken.getsockname()[1]}")
-            self.assertEqual(node.process.wait(LONG), 2)
+            self.assertEqual(node.process.wait(TIMEOUT_S), 2)
         self.assertIn("admin", node.close())
 
 
@@ -70,19 +70,19 @@
         for _ in range(2):
             self.assertEqual(node.call("maint-on s1"), "ok maint-on s1\n")
         before = len(drained.jobs)
-        discovery.tell(drained.row())  # a list update does not end maintenance
+        discovery.send_changes(drained.row())  # a list update does not end maintenance
         eventually(lambda: node.counters()["discovery_messages"] >= 3)
         for n in range(12):
             self.assertEqual(node.post(f"t{n}")[1], b"s2:t%d" % n)
         self.assertEqual(len(drained.jobs), before)
         node.call("maint-on s2")
-        self.assertEqual((node.answers_ready(), node.call("status")[:15]), (503, "fail not ready:"))
+        self.assertEqual((node.readiness_status(), node.call("status")[:15]), (503, "fail not ready:"))
         answers: list[Any] = []
         thread = threading.Thread(target=lambda: answers.append(node.post("waits")))
         thread.start()
         eventually(lambda: node.counters()["taken"] >= 13)
         self.assertEqual(node.call("maint-off s1"), "ok maint-off s1\n")
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual(answers[0][:2], (200, b"s1:waits"))
         node.call("maint-off s2")
         self.assertEqual(node.call("status"), "ok ready; in maintenance: none\n")
@@ -129,21 +129,21 @@
     def test_standby_closes_client_connections_after_their_answers_until_active(self) -> None:
         worker = self.worker("s1", lambda job, nth: "hold" if job == "open" else "done")
         node = self.node(worker)
-        idle, busy = (http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG) for _ in range(2))
+        idle, busy = (http.client.HTTPConnection("127.0.0.1", node.port, timeout=TIMEOUT_S) for _ in range(2))
         node.post("warm", connection=idle)
         answers: list[Any] = []
         thread = threading.Thread(target=lambda: answers.append(node.post("open", "once", connection=busy)))
         thread.start()
         eventually(lambda: any(row[0] == "open" for row in worker.jobs))
         self.assertEqual(node.call("standby"), "ok standby\n")
-        self.assertEqual((node.answers_ready(), node.call("status")), (503, "fail not ready: standby\n"))
+        self.assertEqual((node.readiness_status(), node.call("status")), (503, "fail not ready: standby\n"))
         status, _, headers = node.post("late")  # a request that arrives during standby is still served
         self.assertEqual((status, headers["connection"]), (200, "close"))
         assert idle.sock is not None
         self.assertEqual(idle.sock.recv(1), b"")
         worker.release.set()
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual((answers[0][0], answers[0][2]["connection"]), (200, "close"))
         self.assertEqual(node.call("active"), "ok active\n")
-        self.assertEqual(node.answers_ready(), 200)
+        self.assertEqual(node.readiness_status(), 200)
         self.assertNotIn("connection", node.post("again")[2])
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -10,12 +10,12 @@
 import time
 from typing import Any
 
-from tests.edge import LONG, ROOT, SETTINGS, Discovery, EdgeCase, Node, Worker, eventually, request_class
+from tests.edge import ROOT, SETTINGS, TIMEOUT_S, Discovery, EdgeCase, Node, Worker, eventually, request_class
 
 AGREEMENT_SETTINGS: dict[str, Any] = {
     **SETTINGS, "locality": "c",
-    "classes": [request_class("search", limit_ms=6000, aim_ms=400),
-                request_class("record", "keyed", limit_ms=6000, aim_ms=400)]}
+    "classes": [request_class("search", limit_ms=6000, objective_ms=400),
+                request_class("record", "keyed", limit_ms=6000, objective_ms=400)]}
 DOCUMENT = """
 trace {
     file "trace.jsonl"
@@ -114,7 +114,7 @@
             self.submit(node, f"here-{name}", 4, name, X_Region="here")
             self.submit(node, f"there-{name}", 4, name, X_Region="there")
         inner = http.client.HTTPConnection(
-            "127.0.0.1", node.port, timeout=LONG, source_address=("127.0.0.9", 0))
+            "127.0.0.1", node.port, timeout=TIMEOUT_S, source_address=("127.0.0.9", 0))
         self.assertEqual(node.post("inner", connection=inner)[0], 200)
         inner.close()
         self.submit(node, "away", 2, X_Region="here")  # refused, then served
@@ -122,7 +122,7 @@
         self.submit(node, "mute", 1, X_Region="here")  # its worker does not answer: a hedged attempt
         # Maintenance applies although the list still names the worker in service.
         self.assertEqual(node.call("maint-on c1"), "ok maint-on c1\n")
-        discovery.tell(self.c1.row())
+        discovery.send_changes(self.c1.row())
         self.submit(node, "out", 6, X_Region="here")
         self.assertEqual(node.call("maint-off c1"), "ok maint-off c1\n")
         # The only worker of a region drains, and the list shows it 1.6 s later.
@@ -131,7 +131,7 @@
         while time.monotonic() < until:
             self.submit(node, f"lag-{time.monotonic()}", 1, pause=0.03, X_Region="there")
         before = node.counters()["discovery_messages"]
-        discovery.tell(self.n1.row("DRAINING"))
+        discovery.send_changes(self.n1.row("DRAINING"))
         eventually(lambda: node.counters()["discovery_messages"] > before)
         time.sleep(1.1)
         self.submit(node, "drained", 2, expires="300m", X_Region="there")
@@ -139,7 +139,7 @@
         # It returns after a restart, cold.
         self.record_own_state(self.n1, "in-service")
         self.n1.boot_ms = int(time.time() * 1000)
-        discovery.tell(self.n1.row())
+        discovery.send_changes(self.n1.row())
         eventually(lambda: node.counters()["discovery_messages"] > before + 1)
         self.assertIn(200, self.submit(node, "cold", 8, pause=0.05, X_Region="there"))
         # A reload adds a route.
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -7,7 +7,7 @@
 import threading
 import time
 
-from tests.edge import LONG, EdgeCase, Node, eventually, in_threads
+from tests.edge import TIMEOUT_S, EdgeCase, Node, eventually, in_threads
 from tests.test_node import post
 
 
@@ -61,7 +61,7 @@
         for data, status in (
                 (post("a", length=60_000_000), b"413"), (post("a", path="/none", length=60_000), b"404"),
                 (post("a", "Expect: 100-continue", length=60_000_000), b"413")):
-            sock = socket.create_connection(("127.0.0.1", node.port), timeout=LONG)
+            sock = socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S)
             sock.sendall(data)  # and no byte of the body
             self.assertEqual(answer_of(sock)[9:12], status)
 
@@ -70,7 +70,7 @@
         node = self.node(self.worker("s1"))
         for size, rows in ((60_000_000, ("Content-Length: 60000000",)),
                            (60_000_000, ("Transfer-Encoding: chunked",))):
-            sock = socket.create_connection(("127.0.0.1", node.port), timeout=LONG)
+            sock = socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S)
             sock.sendall(post("a", *rows, length=None) + (b"%x\r\n" % size if "chunked" in rows[0] else b""))
             for _ in range(60):
                 sock.sendall(bytes(1_000_000))
@@ -84,11 +84,11 @@
         begun = time.monotonic()
         for data, status in ((b"", b""), (b"POST /search HTTP/1.1\r\nX-A: b", b"408"),
                              (post("a", length=50) + b"half", b"408")):
-            sock = socket.create_connection(("127.0.0.1", node.port), timeout=LONG)
+            sock = socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S)
             sock.sendall(data)
             self.assertEqual(answer_of(sock)[9:12], status)
         self.assertGreater(time.monotonic() - begun, 1, "closed before the timeout")
-        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
+        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=TIMEOUT_S)
         self.assertEqual(node.post("t1", connection=kept)[0], 200)
         first = kept.sock
         time.sleep(3)
@@ -114,7 +114,7 @@
     def test_who_is_owed_an_answer_is_never_shed(self) -> None:
         worker = self.worker("s1", lambda job, nth: "hold" if job == "owed" else "done")
         node = self.node(worker, limits={"sockets": 64})
-        sock = socket.create_connection(("127.0.0.1", node.port), timeout=LONG)
+        sock = socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S)
         sock.sendall(post("owed", "Connection: close"))
         idle_sockets = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(60)]
         self.assertEqual(node.post("t")[0], 200)
@@ -126,17 +126,17 @@
     def test_connections_for_status_pages_are_closed_before_one_between_two_jobs(self) -> None:
         """Guards clients with jobs: when the longest idle was closed first, it was one between two jobs."""
         node = self.node(self.worker("s1"), limits={"sockets": 128})
-        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
+        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=TIMEOUT_S)
         self.assertEqual(node.post("t1", connection=kept)[0], 200)
         sock, other_clients = kept.sock, []
         for _ in range(200):
-            other_clients.append(socket.create_connection(("127.0.0.1", node.port), timeout=LONG))
+            other_clients.append(socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S))
             other_clients[-1].sendall(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
         # With half of the connections in use, those for status pages are closed after their answers. Closing
         # connections for the last clients may have left fewer than half: a few more reach it again.
         answer = b""
         for _ in range(60):
-            other_clients.append(socket.create_connection(("127.0.0.1", node.port), timeout=LONG))
+            other_clients.append(socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S))
             other_clients[-1].sendall(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
             answer = other_clients[-1].recv(65536)
             self.assertIn(b"live", answer)
@@ -151,11 +151,11 @@
     def test_a_slow_writer_is_served_among_clients_that_stopped_within_a_request(self) -> None:
         """Guards slow writers: counted from its first byte, such a connection was closed for a new one."""
         node = self.node(self.worker("s1"), limits={"sockets": 128})
-        slow, other_clients = socket.create_connection(("127.0.0.1", node.port), timeout=LONG), []
+        slow, other_clients = socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S), []
         with slow:
             for byte in post("slow", "Connection: close"):
                 slow.sendall(bytes([byte]))
-                other_clients.append(socket.create_connection(("127.0.0.1", node.port), timeout=LONG))
+                other_clients.append(socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S))
                 other_clients[-1].sendall(b"POST /sea")
                 time.sleep(0.015)
             self.assertIn(b"s1:slow", answer_of(slow))
@@ -166,11 +166,11 @@
     def test_abandoned_idle_connections_are_closed(self) -> None:
         """Guards clients at their connection limit: abandoned idle connections blocked their next request."""
         node = self.node(self.worker("s1"), limits={"sockets": 128})
-        abandoned = [socket.create_connection(("127.0.0.1", node.port), timeout=LONG) for _ in range(20)]
+        abandoned = [socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S) for _ in range(20)]
         for n, sock in enumerate(abandoned):
             sock.sendall(post(f"t{n}"))
             self.assertEqual(sock.recv(65536)[9:12], b"200")
-        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
+        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=TIMEOUT_S)
         eventually(lambda: node.post("t", connection=kept)[0] == 200
                    and node.counters().get("connections_closed_as_idle", 0) >= 5)
         self.assertEqual(answer_of(abandoned[0]), b"", "the longest idle connection was not closed")
@@ -186,7 +186,7 @@
         node = self.node(*workers, limits={"sockets": 112})
         for n in range(40):  # so that the node knows how long a job runs
             node.post(f"warm{n}", "once")
-        other_clients = [socket.create_connection(("127.0.0.1", node.port), timeout=LONG) for _ in range(45)]
+        other_clients = [socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S) for _ in range(45)]
         for sock in other_clients:
             sock.sendall(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
         time.sleep(0.3)  # new connections are not closed at once
@@ -199,7 +199,7 @@
 
     def test_incomplete_bodies_hold_only_a_bounded_part_of_memory(self) -> None:
         node = self.node(self.worker("s1"), limits={"sockets": 512, "memory_mb": 16})
-        slow = [socket.create_connection(("127.0.0.1", node.port), timeout=LONG) for _ in range(60)]
+        slow = [socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S) for _ in range(60)]
         for n, sock in enumerate(slow):
             sock.sendall(post(f"slow{n}", length=60_000) + bytes(50_000))
         answers = [answer_of(sock)[9:12] for sock in slow]
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import IO
 
-from arrowfold.standins.servers import LONG, eventually, free_port
+from arrowfold.standins.servers import TIMEOUT_S, eventually, free_port
 from tests.edge import ROOT
 from tests.samples import SAMPLES
 from tests.test_check import write_document
@@ -58,11 +58,11 @@
                 self.assertEqual(words[:2], ["curl", "-d"])
                 job = urllib.request.Request(words[-1], words[2].encode(), dict(
                     word.split(": ") for word in words if ": " in word))
-                with urllib.request.urlopen(job, timeout=LONG) as answer:
+                with urllib.request.urlopen(job, timeout=TIMEOUT_S) as answer:
                     self.assertRegex(answer.read().decode(), "search-[0-9]:job-1")
             finally:
                 os.killpg(node.pid, signal.SIGTERM)
-                node.wait(LONG)
+                node.wait(TIMEOUT_S)
             eventually(lambda: not self.accepts_connections(ports["DISCOVERY"]))  # the stand-ins end with it
 
     @staticmethod
@@ -74,7 +74,7 @@
     @staticmethod
     def is_ready(port: int) -> bool:
         try:
-            with urllib.request.urlopen(f"http://127.0.0.1:{port}/health/ready", timeout=LONG) as answer:
+            with urllib.request.urlopen(f"http://127.0.0.1:{port}/health/ready", timeout=TIMEOUT_S) as answer:
                 return bool(answer.status == 200)
         except OSError:
             return False
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from arrowfold.program.node import last_moments
-from arrowfold.standins.door import NEVER_RAN, WATCH_HEAD, Door, Peer
+from arrowfold.standins.door import NEVER_RAN, WATCH_HEAD, ManualServer, ServerConnection
 from arrowfold.standins.process import SETTINGS, request_class
-from arrowfold.standins.servers import LONG, eventually, free_port
+from arrowfold.standins.servers import TIMEOUT_S, eventually, free_port
 from arrowfold.transport.loop import Loop
 from arrowfold.transport.pool import REST
 from arrowfold.transport.stream import Stream
@@ -31,8 +31,8 @@
 
 
 class RaceCase(EdgeCase):
-    def door(self, uid: str = "s1", shut: bool = False) -> Door:
-        door = Door(uid, shut)
+    def door(self, uid: str = "s1", shut: bool = False) -> ManualServer:
+        door = ManualServer(uid, shut)
         self.addCleanup(door.close)
         return door
 
@@ -42,7 +42,7 @@
         return node
 
     def client(self, node: Node, data: bytes = b"") -> socket.socket:
-        sock = socket.create_connection(("127.0.0.1", node.port), timeout=LONG)
+        sock = socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S)
         self.addCleanup(sock.close)
         sock.sendall(data)
         return sock
@@ -50,9 +50,9 @@
     def wait_for_count(self, node: Node, name: str, count: int = 1) -> None:
         eventually(lambda: node.counters().get(name, 0) >= count)
 
-    def next_connection(self, *doors: Door) -> Peer:
+    def next_connection(self, *doors: ManualServer) -> ServerConnection:
         """Returns the next connection of the node to any of the doors."""
-        ready = select.select([door.sock for door in doors], [], [], LONG)[0]
+        ready = select.select([door.sock for door in doors], [], [], TIMEOUT_S)[0]
         return next(door for door in doors if door.sock in ready).accept()
 
     @contextlib.contextmanager
@@ -77,7 +77,7 @@
             self.shut, discovery=self.agent.address, settings={**NO_CANCEL, "discovery": "automatic"})
         self.watch = self.agent.accept()
         self.watch.request()
-        self.watch.say(WATCH_HEAD)
+        self.watch.send_bytes(WATCH_HEAD)
         self.watch.chunk({"rev": 1, "all": True, "targets": [self.shut.row()]})
         self.wait_for_count(self.running, "discovery_messages", 2)
 
@@ -94,7 +94,7 @@
         self.assertNotIn("outcome_connect_failed", self.running.counters())
         self.shut.open()
         while self.shut.asked(0.0):
-            self.assertTrue(self.shut.accept().ended())
+            self.assertTrue(self.shut.accept().wait_until_closed())
         self.assertEqual([peer.read for peer in self.shut.peers], [b""] * len(self.shut.peers))
 
     def test_the_client_leaves(self) -> None:
@@ -128,7 +128,7 @@
     def served_by_the_other(self, event: Callable[[], Any]) -> None:
         thread, got = self.send_job()
         event()
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual(got[0][:2], (200, b"s2:t1"))
         self.assert_nothing_sent()
 
@@ -162,8 +162,8 @@
             except EOFError:
                 self.assertEqual(peer.read, b"")
                 peer = self.shut.accept()
-        peer.done("t1")
-        thread.join(LONG)
+        peer.send_result("t1")
+        thread.join(TIMEOUT_S)
 
 
 class Leaving(RaceCase):
@@ -188,7 +188,7 @@
             client.sendall(b"x" * ahead)
             client.close()
             self.wait_for_count(node, "client_left", count)
-            self.assertTrue(peer.ended())  # its attempt is cancelled
+            self.assertTrue(peer.wait_until_closed())  # its attempt is cancelled
 
     def test_an_answer_is_complete_in_spite_of_input_sent_ahead(self) -> None:
         """Input over the limit is not read; closing after the answer must not reset the connection."""
@@ -200,7 +200,7 @@
         client.sendall(post("ahead") + b"x" * 1_000_000)
         self.wait_for_count(node, "sent_ahead_unheard")
         with self.paused(node):  # it reads the server's answer first and closes with this input unread
-            peer.done("t1", "whole")
+            peer.send_result("t1", "whole")
             client.sendall(b"x" * 100_000)
         answer = b"".join(iter(lambda: client.recv(65536), b""))
         self.assertTrue(answer.endswith(b"whole"), answer)
@@ -210,7 +210,7 @@
         door = self.door()
         port = free_port()
         node = self.among(door, edge=f'faktory {{\n    listen "127.0.0.1:{port}"\n}}\n')
-        client = socket.create_connection(("127.0.0.1", port), timeout=LONG)
+        client = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
         self.addCleanup(client.close)
         client.sendall(b'HELLO {"v":2}\r\nPUSH {"jid":"j1","jobtype":"search","args":[]}\r\n')
         peer = door.accept()
@@ -218,7 +218,7 @@
         client.sendall(b"x" * 500_000)
         client.close()
         self.wait_for_count(node, "client_left")
-        self.assertTrue(peer.ended())
+        self.assertTrue(peer.wait_until_closed())
 
 
 class Answers(RaceCase):
@@ -232,17 +232,17 @@
         def flood() -> None:
             line = b'{"id":"t1","state":"running","share":0.1}\n'
             with contextlib.suppress(OSError):
-                peer.say(WATCH_HEAD)
+                peer.send_bytes(WATCH_HEAD)
                 while True:
-                    peer.say(b"%x\r\n%s\r\n" % (len(line) * 500, line * 500))
+                    peer.send_bytes(b"%x\r\n%s\r\n" % (len(line) * 500, line * 500))
 
         thread = threading.Thread(target=flood, daemon=True)
         thread.start()
-        thread.join(LONG)  # the node closes the connection: the answer exceeds the limit
+        thread.join(TIMEOUT_S)  # the node closes the connection: the answer exceeds the limit
         self.assertFalse(thread.is_alive())
         second = self.next_connection(*doors)  # safe to repeat
         second.request()
-        second.done("t1", "after all")
+        second.send_result("t1", "after all")
         self.assertIn(b"after all", client.recv(65536))
 
     def test_a_stream_that_never_pauses_lets_others_run(self) -> None:
@@ -283,13 +283,13 @@
         node = self.among(door, discovery=agent.address, settings={**PLAIN, "discovery": "automatic"})
         watch = agent.accept()
         watch.request()
-        watch.say(WATCH_HEAD)
+        watch.send_bytes(WATCH_HEAD)
         client = self.client(node, post("t1", path="/once").replace(b"Qos: search", b"Qos: once"))
         peer = door.accept()
         peer.request()
         watch.chunk({"rev": 2, "all": False, "targets": [other.row()]})
         self.wait_for_count(node, "discovery_messages", 2)
-        peer.say(NEVER_RAN.replace(b"Content-Length: 0", b"Content-Length: 9"))
+        peer.send_bytes(NEVER_RAN.replace(b"Content-Length: 0", b"Content-Length: 9"))
         self.assertIn(b"s2:t1", client.recv(65536))
 
     def test_a_late_answer_to_another_job_is_discarded(self) -> None:
@@ -299,21 +299,21 @@
         node = self.among(one, discovery=agent.address, settings={**PLAIN, "discovery": "automatic"})
         watch = agent.accept()
         watch.request()
-        watch.say(WATCH_HEAD)
+        watch.send_bytes(WATCH_HEAD)
         first = self.client(node, post("t1"))
         peer = one.accept()
         peer.request()
-        peer.done("t1", "one")
+        peer.send_result("t1", "one")
         self.assertIn(b"one", first.recv(65536))
         threading.Event().wait(4 * REST.total_seconds())  # the connection may be reused now
         second = self.client(node, post("t2"))
         peer.request()
         watch.chunk({"rev": 2, "all": False, "targets": [two.row()]})
         self.wait_for_count(node, "discovery_messages", 2)
-        peer.done("t1", "one, once more")
+        peer.send_result("t1", "one, once more")
         again = two.accept()
         again.request()
-        again.done("t2", "two")
+        again.send_result("t2", "two")
         self.assertTrue(second.recv(65536).endswith(b"two"))
         self.assertEqual(node.counters()["answers_misplaced"], 1)
 
@@ -341,17 +341,17 @@
         node = self.among(shut, discovery=agent.address, settings=settings)
         watch = agent.accept()
         watch.request()
-        watch.say(WATCH_HEAD)
+        watch.send_bytes(WATCH_HEAD)
         got: list[Any] = []
         thread = threading.Thread(target=lambda: got.append(self.once(node)))
         thread.start()
         self.wait_for_count(node, "dispatched")
         watch.chunk({"rev": 2, "all": False, "targets": [other.row()]})
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual(got[0], (200, b"s2:t1"))
         shut.open()
         while shut.asked(0.0):
-            self.assertTrue(shut.accept().ended())
+            self.assertTrue(shut.accept().wait_until_closed())
         self.assertEqual([peer.read for peer in shut.peers], [b""] * len(shut.peers))
 
     def test_a_reset_of_a_started_unsafe_job_is_final(self) -> None:
@@ -361,12 +361,12 @@
         self.assertEqual(next(results)[0], 502)
         self.assertFalse(door.asked(0.0) or other.asked(0.0))
 
-    def _reset(self, *doors: Door) -> None:
+    def _reset(self, *doors: ManualServer) -> None:
         peer = self.next_connection(*doors)
         peer.request()
-        peer.say(WATCH_HEAD)
+        peer.send_bytes(WATCH_HEAD)
         peer.chunk({"id": "t1", "state": "started"})
-        Peer.reset(peer)
+        ServerConnection.reset(peer)
 
 
 class Closing(RaceCase):
@@ -428,7 +428,7 @@
             threading.Event().wait(last_moments(timedelta(milliseconds=700))[2].total_seconds())
         answer = b"".join(iter(lambda: client.recv(65536), b""))
         self.assertEqual(answer[:12], b"HTTP/1.1 502")
-        self.assertEqual(node.process.wait(LONG), 0)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 0)
 
     def test_connections_not_yet_accepted_at_the_end_are_answered(self) -> None:
         """A hundred connections with a request each, which the kernel has accepted but the node has not."""
@@ -443,7 +443,7 @@
             late = [self.client(node, post(f"late{n}")) for n in range(100)]
         for client in [owed, *late]:
             self.assertIn(client.recv(65536)[:12], (b"HTTP/1.1 502", b"HTTP/1.1 503"))
-        self.assertEqual(node.process.wait(LONG), 0)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 0)
 
     def test_repeated_signals_lose_no_request(self) -> None:
         door = self.door()
@@ -453,10 +453,10 @@
         peer.request()
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             node.process.send_signal(number)
-        peer.done("t1", "in time")
+        peer.send_result("t1", "in time")
         self.assertIn(b"in time", client.recv(65536))
         client.close()
-        self.assertEqual(node.process.wait(LONG), 0)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 0)
 
     def test_the_end_comes_before_sigkill_whatever_the_deadlines(self) -> None:
         for limit in (50, 100, 250, 300, 700, 3000, 60_000):
--- a/tests/test_descriptions.py
+++ b/tests/test_descriptions.py
@@ -10,7 +10,7 @@
 import yaml
 
 from arrowfold.standins.producers import Client
-from tests.edge import LONG, ROOT, SETTINGS, Node, free_port, request_class
+from tests.edge import ROOT, SETTINGS, TIMEOUT_S, Node, free_port, request_class
 from tests.test_faktory import FaktoryCase
 
 OPENAPI = yaml.safe_load((ROOT / "deploy/openapi.yaml").read_text())
@@ -69,7 +69,7 @@
                     payload = example["payload"]
                     if word in ("HELLO", "PUSH", "FETCH", "INFO"):
                         user = Client(self.port, **payload) if word == "HELLO" else client
-                        reply = user.greeted if word == "HELLO" else "+OK" if word == "FETCH" else \
+                        reply = user.hello_reply if word == "HELLO" else "+OK" if word == "FETCH" else \
                             user.call(word, payload)
                         self.assertTrue(reply == "+OK" or (word == "INFO" and "server" in reply), reply)
                         if word == "HELLO":
@@ -82,7 +82,7 @@
         self.assertRegex(client.push("j", "other"), "^-ERR PUSH: jobtype: 'other' is not one of")
         self.assertRegex(client.push("j", "full-search", custom={"slots": "two"}),
                          "^-ERR PUSH: custom.slots: 'two' is not of type 'number'")
-        self.assertRegex(Client(self.port, v="two").greeted, "^-ERR HELLO: v: 'two' is not of type")
+        self.assertRegex(Client(self.port, v="two").hello_reply, "^-ERR HELLO: v: 'two' is not of type")
         self.assertEqual(node.counters()["taken"], 1)
 
     def refused(self, key: str, text: str) -> str:
@@ -91,7 +91,7 @@
         edge = f'faktory {{\n listen "127.0.0.1:{free_port()}"\n}}\n' \
                f'descriptions {{\n {key} "document.yaml"\n}}\n'
         node = self.node(wait=False, edge=edge)
-        self.assertEqual(node.process.wait(LONG), 2)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 2)
         (line,) = node.close().splitlines()
         return line
 
@@ -123,5 +123,5 @@
     def test_a_missing_document_is_named(self) -> None:
         edge = 'descriptions {\n openapi "nowhere.yaml"\n}\n'
         node = self.node(wait=False, edge=edge)
-        self.assertEqual(node.process.wait(LONG), 2)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 2)
         self.assertIn(str(Path("nowhere.yaml")), node.close())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -5,7 +5,7 @@
 import itertools
 from typing import Any
 
-from arrowfold.standins.servers import Quiet, Server, Worker, eventually
+from arrowfold.standins.servers import QuietHandler, Server, Worker, eventually
 from tests.edge import EdgeCase
 
 
@@ -19,7 +19,7 @@
         self.asked: list[str] = []
         outer = self
 
-        class Handler(Quiet):
+        class Handler(QuietHandler):
             def do_GET(self) -> None:
                 step = steps[min(len(outer.asked), len(steps) - 1)]
                 outer.asked.append(self.path)
@@ -33,7 +33,7 @@
                 self.send_header("Transfer-Encoding", "chunked")
                 self.end_headers()
                 if isinstance(step, bytes):
-                    self.say(b"%x\r\n%s\r\n" % (len(step), step))
+                    self.send_bytes(b"%x\r\n%s\r\n" % (len(step), step))
                 else:
                     self.chunk(step)
 
@@ -88,5 +88,5 @@
         worker = self.worker("s1")
         node = self.node(worker, discovery=self.follow(listing(8)).address)
         eventually(lambda: node.counters()["discovery_messages"] == 2)  # the first is its initial list
-        self.assertEqual(node.answers_ready(), 503)
+        self.assertEqual(node.readiness_status(), 503)
         self.assertGreaterEqual(node.counters()["discovery_doubted"], 3)
--- a/tests/test_faktory.py
+++ b/tests/test_faktory.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from arrowfold.standins.producers import Client
-from tests.edge import LONG, QUICK, EdgeCase, Node, eventually, free_port, in_threads
+from tests.edge import QUICK, TIMEOUT_S, EdgeCase, Node, eventually, free_port, in_threads
 
 
 class FaktoryCase(EdgeCase):
@@ -77,7 +77,7 @@
         self.assertEqual((job["jid"], job["jobtype"], job["args"], job["custom"]),
                          ("job1", "once", ["job1"], {"n": 1}))
         self.assertEqual(worker.call("ACK", {"jid": "job1"}), "+OK")
-        self.assertEqual(replies.get(timeout=LONG), "+OK")
+        self.assertEqual(replies.get(timeout=TIMEOUT_S), "+OK")
 
 
 class HardCases(FaktoryCase):
@@ -90,7 +90,7 @@
         again = self.client("w1")
         self.assertIsNone(again.call("FETCH", "default"), "it fetched the job again")
         self.assertEqual(again.call("ACK", {"jid": "job1"}), "+OK")
-        self.assertEqual(replies.get(timeout=LONG), "+OK")
+        self.assertEqual(replies.get(timeout=TIMEOUT_S), "+OK")
         self.assertEqual(node.counters()["dispatched"], 1)
 
     def test_a_job_goes_to_the_reconnected_worker_and_not_to_its_broken_connection(self) -> None:
@@ -103,16 +103,16 @@
         threading.Thread(target=lambda: jobs.put(back.fetch()), daemon=True).start()
         eventually(lambda: node.counters().get("faktory_commands") == 2)
         replies = self.pushing("job1", "once")
-        self.assertEqual(jobs.get(timeout=LONG)["jid"], "job1")
+        self.assertEqual(jobs.get(timeout=TIMEOUT_S)["jid"], "job1")
         self.assertEqual(back.call("ACK", {"jid": "job1"}), "+OK")
-        self.assertEqual(replies.get(timeout=LONG), "+OK")
+        self.assertEqual(replies.get(timeout=TIMEOUT_S), "+OK")
 
     def test_a_late_and_a_repeated_ack_are_counted_and_answered_and_change_nothing(self) -> None:
         node = self.edge()
         worker = self.client("w1")
         replies = self.pushing("job1", "once", custom={"expires_in_ms": 1500})
         worker.fetch()
-        self.assertIn("failed", replies.get(timeout=LONG))
+        self.assertIn("failed", replies.get(timeout=TIMEOUT_S))
         self.assertEqual(worker.call("ACK", {"jid": "job1"}), "+OK")
         self.assertEqual(worker.call("ACK", {"jid": "job1"}), "+OK")
         counted = node.counters()
@@ -138,7 +138,7 @@
         self.assertEqual(len(there.jobs), count + 6)
         self.assertIsNone(worker.call("FETCH", "default"))
         self.assertEqual(worker.call("ACK", {"jid": held}), "+OK")
-        self.assertEqual(pushed[held].get(timeout=LONG), "+OK")
+        self.assertEqual(pushed[held].get(timeout=TIMEOUT_S), "+OK")
 
     def test_an_ending_node_finishes_its_jobs_then_quiets_its_workers(self) -> None:
         node = self.edge()
@@ -149,12 +149,12 @@
             incomplete.sendall(b"POST /search HTT")  # a request being received delays the end
             eventually(lambda: node.counters().get("connections_accepted", 0) >= 2)
             node.process.terminate()
-            eventually(lambda: node.answers_ready() == 503)
+            eventually(lambda: node.readiness_status() == 503)
             self.assertEqual(beating.call("BEAT", {"wid": "w1"}), "+OK")  # the answer to its job is still due
             self.assertEqual(worker.call("ACK", {"jid": "job1"}), "+OK")
-            self.assertEqual(replies.get(timeout=LONG), "+OK")
+            self.assertEqual(replies.get(timeout=TIMEOUT_S), "+OK")
             eventually(lambda: beating.call("BEAT", {"wid": "w1"}) == {"state": "quiet"})
-        self.assertEqual(node.process.wait(LONG), 0)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 0)
 
     def test_connections_without_hello_and_with_an_incomplete_command_time_out(self) -> None:
         """Guards descriptors, as on the HTTP front end; a client may be idle between two commands."""
@@ -185,7 +185,7 @@
         replies = self.pushing("job1", "once", custom={"expires_in_ms": 20_000})
         worker.fetch()
         worker.close()
-        self.assertIn("failed", replies.get(timeout=LONG))
+        self.assertIn("failed", replies.get(timeout=TIMEOUT_S))
         self.assertEqual(node.counters()["outcome_reset"], 1)
 
     def test_an_http_job_is_served_by_a_faktory_workers_result(self) -> None:
@@ -209,7 +209,7 @@
         worker = self.client("w1")
         replies = self.pushing("job2", "once")
         self.assertEqual(worker.call("FAIL", {"jid": worker.fetch()["jid"], "errtype": "E"}), "+OK")
-        self.assertRegex(replies.get(timeout=LONG), "^-ERR failed: job job2")
+        self.assertRegex(replies.get(timeout=TIMEOUT_S), "^-ERR failed: job job2")
         self.assertEqual(node.counters()["outcome_error"], 1)
 
     def test_a_producers_disconnect_cancels_its_job(self) -> None:
@@ -258,10 +258,10 @@
 
     def test_hello_requires_the_version_and_the_password(self) -> None:
         self.edge(extra='password "secret"')
-        self.assertEqual(self.client(password="secret").greeted, "+OK")
-        self.assertRegex(self.client(password="wrong").greeted, "^-ERR .*password")
-        self.assertRegex(self.client(v=1, password="secret").greeted, "^-ERR .*v must be 2")
-        with socket.create_connection(("127.0.0.1", self.port), timeout=LONG) as sock:
+        self.assertEqual(self.client(password="secret").hello_reply, "+OK")
+        self.assertRegex(self.client(password="wrong").hello_reply, "^-ERR .*password")
+        self.assertRegex(self.client(v=1, password="secret").hello_reply, "^-ERR .*v must be 2")
+        with socket.create_connection(("127.0.0.1", self.port), timeout=TIMEOUT_S) as sock:
             lines = sock.makefile("rb")
             lines.readline()
             sock.sendall(b"INFO\r\n")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,7 @@
 import time
 
 from arrowfold.transport.pool import REST
-from tests.edge import LONG, QUICK, EdgeCase, Node, eventually, in_threads
+from tests.edge import QUICK, TIMEOUT_S, EdgeCase, Node, eventually, in_threads
 
 
 class Serving(EdgeCase):
@@ -167,7 +167,7 @@
                               ({"edge": 'faktory {\n listen "10.0.0.1:1"\n}'}, "faktory > listen"),
                               ({"edge": "factory"}, "factory")):
             node = self.node(wait=False, **changes)
-            self.assertEqual(node.process.wait(LONG), 2)
+            self.assertEqual(node.process.wait(TIMEOUT_S), 2)
             (line,) = node.close().splitlines()
             self.assertIn(name, line)
 
@@ -176,12 +176,12 @@
     def test_a_node_without_workers_is_not_ready_until_discovery_lists_one(self) -> None:
         worker = self.worker("s1")
         node = self.node(discovery=self.discovery(worker).address)
-        eventually(lambda: node.answers_ready() == 200)
+        eventually(lambda: node.readiness_status() == 200)
         self.assertEqual(node.post("t")[:2], (200, b"s1:t"))
 
     def test_a_node_without_workers_is_not_ready_and_denies_jobs(self) -> None:
         node = self.node()
-        self.assertEqual(node.answers_ready(), 503)
+        self.assertEqual(node.readiness_status(), 503)
         status, _, headers = node.post("t", expires="400m")
         self.assertEqual(status, 503)
         # A session that is given up is answered at once, with a retry-after.
@@ -191,10 +191,10 @@
         one, two = self.worker("s1"), self.worker("s2")
         discovery = self.discovery(one, two)
         node = self.node(one, two, discovery=discovery.address)
-        discovery.asked.get(timeout=LONG)
+        discovery.asked.get(timeout=TIMEOUT_S)
         for state, left in (("DRAINING", two), ("DELETED", two)):
             before = node.counters()["discovery_messages"]
-            discovery.tell(one.row(state))
+            discovery.send_changes(one.row(state))
             eventually(lambda before=before: node.counters()["discovery_messages"] > before)  # type: ignore[misc]
             count = len(one.jobs)
             for n in range(6):
@@ -206,18 +206,18 @@
         worker = self.worker("s1")
         discovery = self.discovery(worker)
         node = self.node(worker, discovery=discovery.address)
-        self.assertEqual(discovery.asked.get(timeout=LONG), "/registry/instances?follow=1&since=1")
-        discovery.tell(worker.row())
+        self.assertEqual(discovery.asked.get(timeout=TIMEOUT_S), "/registry/instances?follow=1&since=1")
+        discovery.send_changes(worker.row())
         eventually(lambda: node.counters()["discovery_messages"] >= 3)
         discovery.changes.put(None)
-        self.assertEqual(discovery.asked.get(timeout=LONG), "/registry/instances?follow=1&since=2")
+        self.assertEqual(discovery.asked.get(timeout=TIMEOUT_S), "/registry/instances?follow=1&since=2")
 
     def test_malformed_entries_are_skipped_and_the_others_applied(self) -> None:
         worker = self.worker("s1")
         discovery = self.discovery(worker)
         node = self.node(worker, discovery=discovery.address)
-        discovery.asked.get(timeout=LONG)
-        discovery.tell({"uid": "x"}, {"uid": "y", "endpoint": "no", "state": "SERVING"})
+        discovery.asked.get(timeout=TIMEOUT_S)
+        discovery.send_changes({"uid": "x"}, {"uid": "y", "endpoint": "no", "state": "SERVING"})
         eventually(lambda: node.counters().get("discovery_bad_entries") == 2)
         self.assertEqual(node.post("t")[0], 200)
 
@@ -226,22 +226,22 @@
     def test_sigterm_lets_open_and_new_connections_finish_and_exits_0(self) -> None:
         worker = self.worker("s1", lambda job, nth: "hold" if job == "open" else "done")
         node = self.node(worker)
-        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
+        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=TIMEOUT_S)
         self.assertEqual(node.post("before", connection=kept)[0], 200)
         held: list[tuple[int, bytes, dict[str, str]]] = []
         thread = threading.Thread(target=lambda: held.append(node.post("open", "once")))
         thread.start()
         eventually(lambda: any(row[0] == "open" for row in worker.jobs))
         node.process.terminate()
-        eventually(lambda: node.answers_ready() == 503)
+        eventually(lambda: node.readiness_status() == 503)
         node.process.send_signal(signal.SIGUSR1)
         self.assertEqual(node.post("new")[0], 200)
         self.assertEqual(node.post("kept", connection=kept)[0], 200)
         kept.close()
         worker.release.set()
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual(held[0][:2], (200, b"s1:open"))
-        self.assertEqual(node.process.wait(LONG), 0)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 0)
         asked, last = [line for line in node.close().splitlines() if "event='counters'" in line]
         self.assertIn(" answered_served=4 ", last)
         self.assertIn(" taken=", asked)
@@ -249,7 +249,7 @@
     def test_after_sigterm_clients_keep_their_connections_as_long_as_there_is_time(self) -> None:
         """Guards a zone with one node: clients disconnected early found no node until its restart."""
         node = self.node(self.worker("s1"))
-        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
+        kept = http.client.HTTPConnection("127.0.0.1", node.port, timeout=TIMEOUT_S)
         self.assertEqual(node.post("t", connection=kept)[0], 200)
         node.process.terminate()
         begun = last = time.monotonic()
@@ -263,7 +263,7 @@
             time.sleep(0.02)
         kept.close()
         self.assertGreater(last - begun, 1)
-        self.assertEqual(node.process.wait(LONG), 0)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 0)
 
     def test_open_requests_are_answered_before_sigkill(self) -> None:
         """Guards rule 1: a request received after SIGTERM may have a deadline later than the node's end."""
@@ -271,7 +271,7 @@
         node = self.node(worker)  # its longest deadline is 20 s, which counts as 3 s
         node.process.terminate()
         self.assertEqual(node.post("late", "once", expires="60000m")[0], 502)
-        self.assertEqual(node.process.wait(LONG), 0)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 0)
 
 
 class Crowds(EdgeCase):
--- a/tests/test_quotas_node.py
+++ b/tests/test_quotas_node.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from arrowfold.standins.producers import Client
-from tests.edge import LONG, SETTINGS, EdgeCase, Node, eventually, free_port, in_threads
+from tests.edge import SETTINGS, TIMEOUT_S, EdgeCase, Node, eventually, free_port, in_threads
 
 DOCUMENT = """
 faktory {
@@ -77,7 +77,7 @@
         """The narrowest network applies, and a tenant named by the job comes first; over both protocols."""
         node = self.start()
         connection = http.client.HTTPConnection(
-            "127.0.0.1", node.port, timeout=LONG, source_address=("127.0.0.9", 0))
+            "127.0.0.1", node.port, timeout=TIMEOUT_S, source_address=("127.0.0.9", 0))
         self.addCleanup(connection.close)
         statuses = [node.post(f"web-{n}", connection=connection)[0] for n in range(5)]
         self.assertEqual(statuses, [200] * 4 + [429])
@@ -173,7 +173,7 @@
         settings = {**SETTINGS, "classes": [{**row, "onTimeUs": 100_000} for row in SETTINGS["classes"]]}
         self.behave = lambda job, nth: "hold"  # type: ignore[method-assign]
         node = self.start(settings=settings)
-        connection = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
+        connection = http.client.HTTPConnection("127.0.0.1", node.port, timeout=TIMEOUT_S)
         self.addCleanup(connection.close)
         connection.request("POST", "/search?key=k", b"", {
             "X-Trace-Id": "held", "X-Qos": "search", "X-Expires-In": "20000m", "X-Tenant": "slow"})
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.edge import LONG, ROOT, SETTINGS, Discovery, EdgeCase, Node, Worker, eventually
+from tests.edge import ROOT, SETTINGS, TIMEOUT_S, Discovery, EdgeCase, Node, Worker, eventually
 
 
 class Reloading(EdgeCase):
@@ -28,18 +28,18 @@
         new = self.worker("s2")
         old, new_discovery = self.discovery(hold), self.discovery(hold, new)
         node = self.node(hold, discovery=old.address)
-        old.asked.get(timeout=LONG)
+        old.asked.get(timeout=TIMEOUT_S)
         answers: list[Any] = []
         thread = self.hold_request(node, hold, answers)
         node.reload(discovery=new_discovery.address)
         # List versions differ between discovery services, so the whole list is requested.
-        self.assertEqual(new_discovery.asked.get(timeout=LONG), "/registry/instances?follow=1")
+        self.assertEqual(new_discovery.asked.get(timeout=TIMEOUT_S), "/registry/instances?follow=1")
         eventually(lambda: any(node.post(f"t{n}")[1].startswith(b"s2") for n in range(20)))
-        new_discovery.tell(hold.row("DRAINING"))
+        new_discovery.send_changes(hold.row("DRAINING"))
         eventually(lambda: node.counters()["discovery_messages"] >= 4)
         self.assertEqual(node.post("after")[1], b"s2:after")
         hold.release.set()
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual(answers[0][:2], (200, b"s1:open"))
         counters = node.counters()
         self.assertEqual((counters["reloads"], counters["discovery_moves"]), (1, 1))
@@ -50,16 +50,16 @@
         old, new_discovery = self.discovery(one, two), Discovery([one.row("DRAINING"), two.row()], held=True)
         self.addCleanup(new_discovery.close)
         node = self.node(one, two, discovery=old.address)
-        old.asked.get(timeout=LONG)
+        old.asked.get(timeout=TIMEOUT_S)
         node.reload(discovery=new_discovery.address)
-        new_discovery.asked.get(timeout=LONG)
+        new_discovery.asked.get(timeout=TIMEOUT_S)
         before = node.counters()["discovery_messages"]
-        old.tell(two.row("DRAINING"))
+        old.send_changes(two.row("DRAINING"))
         eventually(lambda: node.counters()["discovery_messages"] > before)
         for n in range(4):
             self.assertEqual(node.post(f"old{n}")[1], b"s1:old%d" % n)
         old.changes.put(None)  # the old discovery closes the stream and must get no further request
-        new_discovery.whole.set()
+        new_discovery.list_released.set()
         eventually(lambda: node.post("new")[1] == b"s2:new")
         self.assertTrue(old.asked.empty())
         self.assertEqual(node.counters()["discovery_calls"], 2)
@@ -70,7 +70,7 @@
         gone = self.worker("gone")
         gone.close()
         node = self.node(one, discovery=old.address)
-        old.asked.get(timeout=LONG)
+        old.asked.get(timeout=TIMEOUT_S)
         node.reload(discovery=gone.address)
         eventually(lambda: node.counters().get("discovery_failures", 0) >= 2)
         self.assertEqual(node.post("t")[1], b"s1:t")
@@ -91,7 +91,7 @@
         def behave(job: str, nth: int) -> str:
             attempted_jobs.append(job)
             if job == "open" and attempted_jobs.count("open") == 1:
-                release.wait(LONG)
+                release.wait(TIMEOUT_S)
                 return "lost"
             return "failed" if job in ("strict", "few") else "done"
 
@@ -117,7 +117,7 @@
         self.assertLessEqual(attempted_jobs.count("few"), 2)
         # The request that arrived before the reload may still be repeated.
         release.set()
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual((answers[0][0], attempted_jobs.count("open")), (200, 2))
 
     def test_an_invalid_file_changes_nothing_and_its_key_is_named(self) -> None:
@@ -139,8 +139,8 @@
             eventually(lambda: node.counters().get("reloads_refused", 0) == count)  # noqa: B023
             node.config = dict(valid_config)
         self.assertEqual(node.post("t")[0], 200)
-        discovery.tell(worker.row("DRAINING"))
-        eventually(lambda: node.answers_ready() == 503)
+        discovery.send_changes(worker.row("DRAINING"))
+        eventually(lambda: node.readiness_status() == 503)
         log = node.close()
         for name in ("EDGE_CONFIG", "discovery", "limits.sockets", "settings", "seed"):
             self.assertIn(name, log)
@@ -149,7 +149,7 @@
         node = self.node(self.worker("s1"), discovery=self.discovery().address)
         node.reload(listen="127.0.0.1:1", limits={"sockets": 900}, discovery=self.discovery().address)
         self.wait_for_moves(node, 1)
-        eventually(lambda: node.answers_ready() == 503)  # the new list is empty
+        eventually(lambda: node.readiness_status() == 503)  # the new list is empty
         self.assertIn("keys='limits, listen'", node.close())
 
     def test_several_reloads_in_a_row_and_one_beside_sigterm(self) -> None:
@@ -160,15 +160,15 @@
         thread = self.hold_request(node, hold, answers)
         for discovery in lists[1:]:
             node.reload(discovery=discovery.address)
-        lists[-1].asked.get(timeout=LONG)
+        lists[-1].asked.get(timeout=TIMEOUT_S)
         eventually(lambda: node.counters()["discovery_messages"] >= 3)
         node.process.terminate()
         node.reload(discovery=lists[0].address)
-        eventually(lambda: node.answers_ready() == 503)
+        eventually(lambda: node.readiness_status() == 503)
         hold.release.set()
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual(answers[0][:2], (200, b"s1:open"))
-        self.assertEqual(node.process.wait(LONG), 0)
+        self.assertEqual(node.process.wait(TIMEOUT_S), 0)
 
     def start_as_on_the_platform(self) -> Any:
         """Starts a node by the deploy file's `run`, whose shell ignores SIGHUP until the node handles it."""
@@ -182,7 +182,7 @@
     def test_a_burst_of_signals_at_the_start_hides_no_termination(self) -> None:
         """Guards against a lost SIGTERM after more signals, before the loop runs, than one read takes."""
         node = self.start_as_on_the_platform()
-        while node.answers_ready() is None:
+        while node.readiness_status() is None:
             self.assertIsNone(node.process.poll())
             for _ in range(20_000):
                 node.process.send_signal(signal.SIGHUP)
@@ -191,7 +191,7 @@
 
     def test_no_sighup_during_the_start_is_fatal(self) -> None:
         node = self.start_as_on_the_platform()
-        while node.answers_ready() is None:
+        while node.readiness_status() is None:
             self.assertIsNone(node.process.poll())
             node.process.send_signal(signal.SIGHUP)
         self.assertEqual(node.post("t")[0], 200)
--- a/tests/test_repeats_node.py
+++ b/tests/test_repeats_node.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from arrowfold.standins.producers import Client
-from tests.edge import LONG, SETTINGS, EdgeCase, Node, eventually, free_port, in_threads
+from tests.edge import SETTINGS, TIMEOUT_S, EdgeCase, Node, eventually, free_port, in_threads
 
 DOCUMENT = """
 faktory {
@@ -35,7 +35,7 @@
 
     def send(self, node: Node, job: str, key: str = "k", name: str = "once") -> http.client.HTTPConnection:
         """Sends a request without waiting for the answer."""
-        connection = http.client.HTTPConnection("127.0.0.1", node.port, timeout=LONG)
+        connection = http.client.HTTPConnection("127.0.0.1", node.port, timeout=TIMEOUT_S)
         self.addCleanup(connection.close)
         connection.request("POST", f"/{name}?key=repo", b"q", {
             "X-Trace-Id": job, "X-Qos": name, "X-Expires-In": "20000m", "Idempotency-Key": key})
@@ -53,7 +53,7 @@
         eventually(lambda: node.counters().get("repeats_joined", 0) == 29)
         self.worker_.release.set()
         for thread in threads:
-            thread.join(LONG)
+            thread.join(TIMEOUT_S)
         self.assertEqual(first.getresponse().read(), b"s1:t0")
         self.assertEqual([(status, body) for status, body, _ in results], [(200, b"s1:t0")] * 29)
         self.assertEqual(self.runs(), ["t0"])
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -16,7 +16,7 @@
 from arrowfold.routes.rules import Action, Match, Routes, Rule, Subject
 from arrowfold.routes.table import RouteTable, holds
 from arrowfold.standins.producers import Client
-from tests.edge import LONG, SETTINGS, EdgeCase, Node, Worker, eventually, free_port
+from tests.edge import SETTINGS, TIMEOUT_S, EdgeCase, Node, Worker, eventually, free_port
 
 NETWORKS = ("10.0.0.0/8", "10.1.0.0/16", "10.1.2.0/24", "10.1.2.3", "10.1.2.3/32", "0.0.0.0/0",
             "192.0.2.0/25", "2001:db8::/32", "2001:db8:1::/48", "::1", "::/0")
@@ -168,7 +168,7 @@
     def test_a_client_of_a_denied_network_gets_a_retry_after(self) -> None:
         node = self.start()
         connection = http.client.HTTPConnection(
-            "127.0.0.1", node.port, timeout=LONG, source_address=("127.0.0.9", 0))
+            "127.0.0.1", node.port, timeout=TIMEOUT_S, source_address=("127.0.0.9", 0))
         self.addCleanup(connection.close)
         for job in ("one", "two"):  # the connection can be used again
             status, _, headers = node.post(job, connection=connection)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from arrowfold.program.config import Config, ConfigError, read_config
-from arrowfold.standins.servers import LONG, eventually
+from arrowfold.standins.servers import TIMEOUT_S, eventually
 from tests.edge import SETTINGS, EdgeCase
 
 INVALID: list[tuple[tuple[str | int, ...], str, tuple[Any, ...]]] = [
@@ -72,7 +72,7 @@
     def test_exit_2_at_the_start_and_nothing_changes_at_sighup(self) -> None:
         infinite_cap = with_value(("permissions", "sendCap"), float("inf"))
         refused = self.node(self.worker("s0"), settings=infinite_cap)
-        self.assertEqual(refused.process.wait(LONG), 2)
+        self.assertEqual(refused.process.wait(TIMEOUT_S), 2)
         self.assertIn("permissions.sendCap", refused.close())
         node = self.node(self.worker("s1"))
         for count, (key_path, _, values) in enumerate(INVALID, 1):
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-LONG = 20.0
+TIMEOUT_S = 20.0
 
 # A burst of SIGHUPs arrives before the loop runs, as during the imports of a process; then one SIGTERM.
 BURST_SCRIPT = """
@@ -44,7 +44,7 @@
 class Bursts(unittest.TestCase):
     def exit_code_after_burst(self, hangups: int, when: str) -> int:
         command = [sys.executable, "-c", BURST_SCRIPT, str(hangups), when]
-        return subprocess.run(command, cwd=ROOT, timeout=LONG, env=dict(os.environ)).returncode
+        return subprocess.run(command, cwd=ROOT, timeout=TIMEOUT_S, env=dict(os.environ)).returncode
 
     def test_a_sigterm_behind_more_sighups_than_one_read_takes(self) -> None:
         self.assertEqual(self.exit_code_after_burst(20_000, "later"), 0)
@@ -68,7 +68,7 @@
             "print(takes[0], sorted(sum(takes[1:], [])))\n"
         )
         run = subprocess.run(
-            [sys.executable, "-c", script], cwd=ROOT, timeout=LONG, capture_output=True, text=True)
+            [sys.executable, "-c", script], cwd=ROOT, timeout=TIMEOUT_S, capture_output=True, text=True)
         self.assertEqual(run.stdout.strip(), "['SIGUSR1'] ['SIGHUP', 'SIGTERM']")
 
 
--- a/tests/test_succession.py
+++ b/tests/test_succession.py
@@ -8,7 +8,7 @@
 import threading
 from typing import Any
 
-from tests.edge import LONG, EdgeCase, Node, eventually
+from tests.edge import TIMEOUT_S, EdgeCase, Node, eventually
 from tests.test_node import post
 
 
@@ -42,7 +42,7 @@
 
         def send_requests(name: str, keep_alive: bool) -> None:
             """Sends requests one by one. A kept connection may close between two; a new one must not fail."""
-            connection, n = http.client.HTTPConnection("127.0.0.1", old.port, timeout=LONG), 0
+            connection, n = http.client.HTTPConnection("127.0.0.1", old.port, timeout=TIMEOUT_S), 0
             while not stop.is_set():
                 n += 1
                 try:
@@ -74,14 +74,14 @@
         eventually(lambda: old.call("status").startswith("fail"))
         eventually(lambda: old.raw(post("open", "Connection: close"))[:12] == b"HTTP/1.1 409")
         worker.release.set()
-        client.join(LONG)
+        client.join(TIMEOUT_S)
         self.assertEqual(replies[0][:2], (200, b"s1:open"))
-        self.assertEqual(old.process.wait(LONG), 0)
+        self.assertEqual(old.process.wait(TIMEOUT_S), 0)
         taken = successor.counters()["taken"]
         eventually(lambda: successor.counters()["taken"] > taken + 50)
         stop.set()
         for thread in threads:
-            thread.join(LONG)
+            thread.join(TIMEOUT_S)
         self.assertEqual(failures, [])
         self.assertEqual(len(other.jobs), jobs_before)
         self.assertEqual(successor.call("maint-off s2"), "ok maint-off s2\n")
@@ -136,7 +136,7 @@
         self.assertEqual(second.call("maint-off s1"), "ok maint-off s1\n")
         self.assertEqual(old.call("status"), "ok ready; in maintenance: none\n")
         old.process.send_signal(signal.SIGTERM)
-        self.assertEqual(old.process.wait(LONG), 0)
+        self.assertEqual(old.process.wait(TIMEOUT_S), 0)
         self.assertEqual(second.post("t")[0], 200)
 
     def test_the_socket_is_private_and_removed_at_the_end(self) -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -19,9 +19,9 @@
 from arrowfold import Dispatcher
 from arrowfold import interface as api
 from arrowfold.protocol import discovery as watches
-from arrowfold.standins.door import NEVER_RAN, WATCH_HEAD, Door, Peer
+from arrowfold.standins.door import NEVER_RAN, WATCH_HEAD, ManualServer, ServerConnection
 from arrowfold.standins.process import SETTINGS, Node
-from arrowfold.standins.servers import LONG, Discovery, Quiet, Server, eventually, free_port
+from arrowfold.standins.servers import TIMEOUT_S, Discovery, QuietHandler, Server, eventually, free_port
 from arrowfold.transport.loop import Loop
 from tests.edge import EdgeCase
 from tests.field import MS, SECOND, settings
@@ -41,7 +41,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.agent, self.removed, self.listed = Door("discovery"), Door("s1"), self.worker("s2")
+        self.agent, self.removed, self.listed = ManualServer("discovery"), ManualServer("s1"), self.worker("s2")
         self.addCleanup(self.agent.close)
         self.addCleanup(self.removed.close)
         self.answers: list[Any] = []
@@ -58,11 +58,11 @@
         eventually(lambda: node.counters().get("taken") == 1)
         return thread
 
-    def assert_served_from_the_list(self, peer: Peer, node: Node, thread: threading.Thread) -> None:
-        self.assertEqual(node.answers_ready(), 503)
-        peer.say(WATCH_HEAD)
+    def assert_served_from_the_list(self, peer: ServerConnection, node: Node, thread: threading.Thread) -> None:
+        self.assertEqual(node.readiness_status(), 503)
+        peer.send_bytes(WATCH_HEAD)
         peer.chunk(listing(7, self.listed.row()))
-        thread.join(LONG)
+        thread.join(TIMEOUT_S)
         self.assertEqual(self.answers[0][:2], (200, b"s2:early"))
         self.assertFalse(self.removed.asked())
         self.assertNotIn("discovery_unheard", node.counters())
@@ -80,7 +80,7 @@
         for way in (SHED, SHED, b"", WATCH_HEAD, SHED):
             peer = self.agent.accept()
             peer.request()
-            peer.say(way)
+            peer.send_bytes(way)
             peer.reset()
         peer = self.agent.accept()
         peer.request()
@@ -90,40 +90,40 @@
         node = self.start_node(self.agent.address)
         status, _, _ = node.post("short", expires="60m")
         self.assertEqual(status, 503)
-        with socket.create_connection(("127.0.0.1", node.port), timeout=LONG) as client:
+        with socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S) as client:
             client.sendall(b"POST /search HTTP/1.1\r\nHost: x\r\nX-Trace-Id: left\r\nX-Qos: search\r\n"
                            b"X-Expires-In: 20000m\r\nContent-Length: 0\r\n\r\n")
             eventually(lambda: node.counters().get("taken") == 2)
         eventually(lambda: node.counters().get("client_left") == 1)
         peer = self.agent.accept()
         peer.request()
-        peer.say(WATCH_HEAD)
+        peer.send_bytes(WATCH_HEAD)
         peer.chunk(listing(7, self.listed.row()))
-        eventually(lambda: node.answers_ready() == 200)
+        eventually(lambda: node.readiness_status() == 200)
         self.assertEqual(node.counters().get("dispatched", 0), 0)
 
     def test_a_node_that_cannot_reach_discovery_serves_from_its_configured_list(self) -> None:
-        away = Door("nobody")
+        away = ManualServer("nobody")
         away.close()
         node = Node(self.folder, [self.listed.row()], discovery=away.address, settings=SLOW_TO_ASK)
         self.addCleanup(node.close)
         self.assertEqual(node.post("t1")[:2], (200, b"s2:t1"))
-        self.assertEqual((node.answers_ready(), node.counters()["discovery_unheard"]), (200, 1))
+        self.assertEqual((node.readiness_status(), node.counters()["discovery_unheard"]), (200, 1))
 
     def test_a_node_whose_discovery_never_answers_serves_and_keeps_calling(self) -> None:
         node = Node(self.folder, [self.listed.row()], discovery=self.agent.address, settings=SLOW_TO_ASK)
         self.addCleanup(node.close)
         self.assertEqual(node.post("t1")[:2], (200, b"s2:t1"))
-        eventually(lambda: node.answers_ready() == 200)
+        eventually(lambda: node.readiness_status() == 200)
         peer = self.agent.accept()
         peer.reset()
         while "since" not in peer.read.decode():  # connections that it has abandoned come first
             peer = self.agent.accept()
             peer.request()
-            peer.say(WATCH_HEAD)
+            peer.send_bytes(WATCH_HEAD)
             try:
                 peer.chunk(listing(7, self.listed.row("DRAINING")))
-                eventually(lambda: node.answers_ready() == 503)
+                eventually(lambda: node.readiness_status() == 503)
                 return
             except (OSError, AssertionError):
                 continue
@@ -171,7 +171,7 @@
         gaps: list[float] = []
         worker, there = self.worker("s1"), threading.Event()
 
-        class Handler(Quiet):
+        class Handler(QuietHandler):
             def do_GET(self) -> None:
                 gaps.append(time.monotonic())
                 if len(gaps) == 1 or there.is_set():
@@ -191,10 +191,10 @@
         discovery = Server(Handler)
         self.addCleanup(discovery.close)
         node = self.node(worker, discovery=discovery.address, settings=SLOW_TO_ASK)
-        eventually(lambda: node.answers_ready() == 200)
+        eventually(lambda: node.readiness_status() == 200)
         eventually(lambda: len(gaps) >= 9)
         there.set()
-        eventually(lambda: node.answers_ready() == 503)
+        eventually(lambda: node.readiness_status() == 503)
         between = [later - sooner for sooner, later in pairwise(gaps)]
         # The longest gap is left out: a paused machine can only lengthen the time between two calls.
         self.assertLessEqual(sorted(between)[-2], 3.0)
@@ -203,13 +203,13 @@
 class LeavingClient(EdgeCase):
     def test_no_further_attempt_is_made_for_a_client_that_has_left(self) -> None:
         """Criterion 2: the first attempt is returned unstarted after its client has left."""
-        doors = [Door("s1"), Door("s2")]
+        doors = [ManualServer("s1"), ManualServer("s2")]
         for door in doors:
             self.addCleanup(door.close)
         no_cancel = {**SETTINGS, "permissions": {**SETTINGS["permissions"], "cancel": False, "probes": False}}
         node = Node(self.folder, [door.row() for door in doors], settings=no_cancel)
         self.addCleanup(node.close)
-        client = socket.create_connection(("127.0.0.1", node.port), timeout=LONG)
+        client = socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S)
         client.sendall(b"POST /search HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t1\r\nX-Qos: search\r\n"
                        b"X-Expires-In: 20000m\r\nContent-Length: 0\r\n\r\n")
         eventually(lambda: any(door.asked(0.01) for door in doors))
@@ -217,7 +217,7 @@
         peer.request()
         client.close()
         eventually(lambda: node.counters().get("client_left") == 1)
-        peer.say(NEVER_RAN)
+        peer.send_bytes(NEVER_RAN)
         eventually(lambda: node.counters().get("outcome_full", 0) == 1)
         later = node.post("t2", expires="300m")  # another attempt of t1 would come before t2 ends
         self.assertIn(later[0], (502, 503))
@@ -304,7 +304,7 @@
         first = Discovery([one.row(), two.row()], port=port)
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 128}
         node = self.node(one, two, discovery=first.address, limits=limits, settings=SLOW_TO_ASK)
-        eventually(lambda: node.answers_ready() == 200)
+        eventually(lambda: node.readiness_status() == 200)
         first.close()
         first.changes.put(None)  # the watch ends
         eventually(lambda: node.counters().get("discovery_failures", 0) >= 1)
@@ -327,7 +327,7 @@
         self.assertTrue(node.call("status").startswith("ok"))
         second = Discovery([one.row("DRAINING"), two.row()], port=port)
         self.addCleanup(second.close)
-        second.asked.get(timeout=LONG)  # the call got a descriptor
+        second.asked.get(timeout=TIMEOUT_S)  # the call got a descriptor
         eventually(lambda: "maintenance" in node.call("status"))
         answers = {node.post(f"t{nth}")[1] for nth in range(4)}
         self.assertEqual(answers, {b"s2:t%d" % nth for nth in range(4)})
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from arrowfold.protocol import discovery as watches
-from arrowfold.standins.door import WATCH_HEAD, Door, Peer
+from arrowfold.standins.door import WATCH_HEAD, ManualServer, ServerConnection
 from arrowfold.standins.process import SETTINGS, Node
 from arrowfold.standins.servers import Worker, eventually
 from tests.edge import EdgeCase
@@ -23,30 +23,30 @@
 
 
 class Watches(EdgeCase):
-    def door(self) -> Door:
-        door = Door()
+    def door(self) -> ManualServer:
+        door = ManualServer()
         self.addCleanup(door.close)
         return door
 
-    def watched(self, door: Door, *workers: Worker, **options: Any) -> tuple[Node, Peer]:
+    def watched(self, door: ManualServer, *workers: Worker, **options: Any) -> tuple[Node, ServerConnection]:
         """A node with an open watch that has sent its list; the dispatcher calls once after the start."""
         node = self.node(*workers, discovery=door.address, **options)
         peer = door.accept()
         peer.request()
-        peer.say(WATCH_HEAD)
+        peer.send_bytes(WATCH_HEAD)
         peer.chunk(listing(5, *(worker.row() for worker in workers)))
         return node, peer
 
     def served_by(self, node: Node, job: str) -> bytes:
         return node.post(job, path=f"/search?key={job}")[1].partition(b":")[0]
 
-    def reopened(self, door: Door, node: Node, worker: Worker) -> None:
+    def reopened(self, door: ManualServer, node: Node, worker: Worker) -> None:
         """The node reopens the watch at its last version, and applies the next message."""
         peer = door.accept()
         self.assertIn("since=5", peer.request()[0])
-        peer.say(WATCH_HEAD)
+        peer.send_bytes(WATCH_HEAD)
         peer.chunk(listing(6, worker.row("DRAINING"), whole=False))
-        eventually(lambda: node.answers_ready() == 503)
+        eventually(lambda: node.readiness_status() == 503)
         self.assertEqual(node.counters()["discovery_silences"], 1)
 
 
@@ -66,7 +66,7 @@
         self.reopened(self.watcher, self.running, self.server)
 
     def test_a_watch_that_stops_within_a_line_is_reopened(self) -> None:
-        self.peer.say(b'10\r\n{"rev":6,"all":f\r\n')
+        self.peer.send_bytes(b'10\r\n{"rev":6,"all":f\r\n')
         self.reopened(self.watcher, self.running, self.server)
 
     def test_a_watch_that_trickles_bytes_without_a_message_is_reopened(self) -> None:
@@ -76,7 +76,7 @@
         def dribble() -> None:
             while not over.wait(0.05):
                 try:
-                    self.peer.say(b"1\r\n \r\n")
+                    self.peer.send_bytes(b"1\r\n \r\n")
                 except OSError:
                     return
 
@@ -87,7 +87,7 @@
         for _ in range(2):
             refused_call = self.watcher.accept()
             refused_call.request()
-            refused_call.say(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+            refused_call.send_bytes(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
         self.reopened(self.watcher, self.running, self.server)
 
     def test_a_new_address_that_resets_the_first_call_is_called_again(self) -> None:
@@ -98,9 +98,9 @@
         refused_call.reset()
         peer = fresh.accept()
         self.assertNotIn("since", peer.request()[0])
-        peer.say(WATCH_HEAD)
+        peer.send_bytes(WATCH_HEAD)
         peer.chunk(listing(1, self.server.row("DRAINING")))
-        eventually(lambda: self.running.answers_ready() == 503)
+        eventually(lambda: self.running.readiness_status() == 503)
 
     def test_an_update_missed_by_an_unresponsive_watch_arrives_in_time(self) -> None:
         """By the contract, such an update counts as known 6 s after the watch's last message."""
@@ -116,13 +116,13 @@
         peer.chunk(listing(6, one.row("DRAINING"), whole=False))
         eventually(lambda: node.counters()["discovery_messages"] == 3)
         self.assertEqual({self.served_by(node, f"t{n}") for n in range(6)}, {b"s2"})
-        for end in (Peer.reset, Peer.close):
+        for end in (ServerConnection.reset, ServerConnection.close):
             end(peer)
             peer = agent.accept()
             self.assertIn("since=6", peer.request()[0])
-            peer.say(WATCH_HEAD)
+            peer.send_bytes(WATCH_HEAD)
         peer.chunk(listing(7, two.row("DRAINING"), whole=False))
-        eventually(lambda: node.answers_ready() == 503)
+        eventually(lambda: node.readiness_status() == 503)
 
     def test_an_agent_that_accepts_the_call_and_does_not_answer_is_called_again(self) -> None:
         agent, worker = self.door(), self.worker("s1")
@@ -131,9 +131,9 @@
             self.assertIn("follow=1", agent.accept().request()[0])
         peer = agent.accept()
         peer.request()
-        peer.say(WATCH_HEAD)
+        peer.send_bytes(WATCH_HEAD)
         peer.chunk(listing(9, worker.row("DRAINING")))
-        eventually(lambda: node.answers_ready() == 503)
+        eventually(lambda: node.readiness_status() == 503)
 
 
 class Lists(Watches):
@@ -142,9 +142,9 @@
         node, peer = self.watched(door, worker)
         odd = {**worker.row(), "az": 'a } "quoted" { [ \\'}
         peer.chunk(listing(6, odd, worker.row("DRAINING"), whole=False), indent=2)
-        eventually(lambda: node.answers_ready() == 503)
+        eventually(lambda: node.readiness_status() == 503)
         peer.chunk(listing(7, {**worker.row(), "boot_ms": 5}, whole=False), indent=1)
-        eventually(lambda: node.answers_ready() == 200)
+        eventually(lambda: node.readiness_status() == 200)
         self.assertNotIn("discovery_failures", node.counters())
 
     def test_a_drain_in_a_refused_list_is_applied_and_the_list_accepted_in_time(self) -> None:
@@ -165,4 +165,4 @@
         node, peer = self.watched(door, worker)
         peer.chunk(listing(6))
         door.accept()  # the node calls again, without an answer
-        eventually(lambda: node.answers_ready() == 503)
+        eventually(lambda: node.readiness_status() == 503)
