--- a/arrowfold/program/commands.py
+++ b/arrowfold/program/commands.py
@@ -80,7 +80,7 @@
     from arrowfold.expectations.worlds import TokenError, World
 
     document = _read_document(edge_file)
-    plan = _plan(document, settings)
+    plan = build_plan(document, settings)
     for name in only:
         if all(name != e.name for e in document.expectations):
             raise InputFault(f"--only: no expectation is named {name!r}")
@@ -149,7 +149,7 @@
     document = _read_document(edge_file)
     if document.quotas is None:
         raise InputFault(f"configuration: {edge_file}: quotas is missing")
-    platform_settings = _plan(document, settings).settings
+    platform_settings = build_plan(document, settings).settings
     if replay is not None:
         try:
             for line in replay_arrivals(document.quotas, platform_settings, replay):
@@ -222,7 +222,7 @@
         raise InputFault(f"configuration: {error}") from error
 
 
-def _plan(document: EdgeDocument, settings: Path | None) -> Plan:
+def build_plan(document: EdgeDocument, settings: Path | None) -> Plan:
     """Builds the check's plan: the settings from the option or the document, routes, fleet and quotas."""
     from arrowfold.expectations.claims import AtMostAt, Reaches
     from arrowfold.expectations.sampling import fleet_of
--- a/arrowfold/program/node.py
+++ b/arrowfold/program/node.py
@@ -312,7 +312,7 @@
             elif number != signal.SIGHUP and self.stop_at is None:
                 # SIGKILL may follow the initial or the current settings, so the shorter deadline counts.
                 longest_deadline = min(self.config.longest_deadline, self.running_config.longest_deadline)
-                earliest_end, close_delay, stop = last_moments(longest_deadline)
+                earliest_end, close_delay, stop = shutdown_times(longest_deadline)
                 self.log("asked_to_end", owed=self.core.owed)
                 self.counters["terminations"] += 1
                 self.stop_at = self.loop.now() + stop
@@ -414,7 +414,7 @@
         self.log("counters", **dict(sorted(self.counters.items())))
 
 
-def last_moments(longest_deadline: timedelta) -> tuple[timedelta, timedelta, timedelta]:
+def shutdown_times(longest_deadline: timedelta) -> tuple[timedelta, timedelta, timedelta]:
     """Returns the shutdown times, counted from SIGTERM: earliest end, begin of closing clients, latest end.
 
     The platform sends SIGKILL 0.7 s after the longest deadline, where a deadline over 3 s counts as 3 s.
--- a/benchmarks/check_times.py
+++ b/benchmarks/check_times.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from arrowfold.expectations.check import Check
-from arrowfold.program.commands import _plan
+from arrowfold.program.commands import build_plan
 from arrowfold.program.edge import read_edge
 
 SHIPPED = Path(__file__).parent.parent / "deploy" / "edge.kdl"
@@ -24,7 +24,7 @@
     for count in (5, len(document.expectations), 50, 200):
         shipped = document.expectations
         repeated = [replace(shipped[n % len(shipped)], name=str(n)) for n in range(count)]
-        check = Check(_plan(document, None), repeated)
+        check = Check(build_plan(document, None), repeated)
         started_at = time.process_time()
         reports = check.run()
         elapsed = time.process_time() - started_at
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -21,7 +21,7 @@
 from arrowfold import interface as api
 from arrowfold.choice import Dispatcher
 from arrowfold.expectations.check import Check
-from arrowfold.program.commands import _plan
+from arrowfold.program.commands import build_plan
 from arrowfold.program.edge import EdgeDocument, read_edge
 from arrowfold.routes.rules import Action
 from arrowfold.routes.table import RouteTable, _KeyPart, _NetworkPart, _Part
@@ -66,7 +66,7 @@
         "routes {", "routes {" + EXTRA_RULE)
     (folder / "edge.kdl").write_text(text)
     read = read_edge(folder / "edge.kdl")
-    return read, Check(_plan(read, None), read.expectations)
+    return read, Check(build_plan(read, None), read.expectations)
 
 
 @dataclass(frozen=True)
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -10,7 +10,7 @@
 
 from arrowfold.expectations.check import Check, Report
 from arrowfold.expectations.worlds import TokenError, World
-from arrowfold.program.commands import _plan
+from arrowfold.program.commands import build_plan
 from arrowfold.program.edge import EdgeDocument, read_edge
 from tests.edge import ROOT
 from tests.samples import SAMPLES, Sample
@@ -30,7 +30,7 @@
 def load_check(sample: Sample) -> tuple[EdgeDocument, Check]:
     with tempfile.TemporaryDirectory() as folder:
         document = read_edge(write_document(sample, Path(folder)))
-        return document, Check(_plan(document, None), document.expectations)
+        return document, Check(build_plan(document, None), document.expectations)
 
 
 class Samples(unittest.TestCase):
@@ -94,7 +94,7 @@
 
     def test_the_shipped_document_holds(self) -> None:
         document = read_edge(ROOT / "deploy/edge.kdl")
-        plan = _plan(document, None)
+        plan = build_plan(document, None)
         self.assertGreaterEqual(len(document.expectations), 20)
         named = {name for e in document.expectations for name in e.when.match.classes}
         self.assertEqual(named, {cls.name for cls in plan.settings.classes})
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 from datetime import timedelta
 from typing import Any
 
-from arrowfold.program.node import last_moments
+from arrowfold.program.node import shutdown_times
 from arrowfold.standins.door import NEVER_RAN, WATCH_HEAD, ManualServer, ServerConnection
 from arrowfold.standins.process import SETTINGS, request_class
 from arrowfold.standins.servers import TIMEOUT_S, eventually, free_port
@@ -425,7 +425,7 @@
         self.wait_for_count(node, "terminations")
         with self.paused(node):  # until the last moment: the answer is sent while input is unread
             client.sendall(post("ahead") * 8000)
-            threading.Event().wait(last_moments(timedelta(milliseconds=700))[2].total_seconds())
+            threading.Event().wait(shutdown_times(timedelta(milliseconds=700))[2].total_seconds())
         answer = b"".join(iter(lambda: client.recv(65536), b""))
         self.assertEqual(answer[:12], b"HTTP/1.1 502")
         self.assertEqual(node.process.wait(TIMEOUT_S), 0)
@@ -439,7 +439,7 @@
         node.process.send_signal(signal.SIGTERM)
         self.wait_for_count(node, "terminations")
         with self.paused(node):
-            threading.Event().wait(last_moments(timedelta(milliseconds=700))[2].total_seconds())
+            threading.Event().wait(shutdown_times(timedelta(milliseconds=700))[2].total_seconds())
             late = [self.client(node, post(f"late{n}")) for n in range(100)]
         for client in [owed, *late]:
             self.assertIn(client.recv(65536)[:12], (b"HTTP/1.1 502", b"HTTP/1.1 503"))
@@ -461,7 +461,7 @@
     def test_the_end_comes_before_sigkill_whatever_the_deadlines(self) -> None:
         for limit in (50, 100, 250, 300, 700, 3000, 60_000):
             longest = timedelta(milliseconds=limit)
-            least, leave, stop = last_moments(longest)
+            least, leave, stop = shutdown_times(longest)
             kill = min(longest, timedelta(seconds=3)) + timedelta(milliseconds=700)
             self.assertLess(max(least, stop), kill)
             self.assertGreater(leave, timedelta(0))
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -16,7 +16,7 @@
 from arrowfold.expectations.history import State, View
 from arrowfold.expectations.worlds import World, play
 from arrowfold.program import trace as module
-from arrowfold.program.commands import _plan
+from arrowfold.program.commands import build_plan
 from arrowfold.program.edge import TraceConfig, read_edge
 from arrowfold.program.judging import TraceError, read_history
 from arrowfold.program.trace import TraceFile
@@ -164,7 +164,7 @@
     """The limits of when a state applies."""
 
     def test_a_state_applies_from_the_time_it_is_listed(self) -> None:
-        plan = _plan(read_edge(ROOT / "deploy/edge.kdl"), None)
+        plan = build_plan(read_edge(ROOT / "deploy/edge.kdl"), None)
         history = play(World("full-search", event="drain", target="all", lag=200, arrivals=8), plan)
         view = View(history)
         listed_at = {s.server: s.at for s in history.sights if s.state is State.DRAINING}
@@ -179,7 +179,7 @@
             self.assertFalse(view.has_room(server, at))
 
     def test_silent_is_one_second_without_a_message(self) -> None:
-        plan = _plan(read_edge(ROOT / "deploy/edge.kdl"), None)
+        plan = build_plan(read_edge(ROOT / "deploy/edge.kdl"), None)
         history = play(World("full-search", event="silent", target="all", at=60, arrivals=6), plan)
         view, found = View(history), 0
         for life in history.lives:
