--- a/arrowfold/expectations/check.py
+++ b/arrowfold/expectations/check.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from arrowfold.expectations.claims import Finding
-from arrowfold.expectations.contradictions import contradict
-from arrowfold.expectations.judgement import Expectation, Tally, judge_all, share_owed
+from arrowfold.expectations.contradictions import contradicts
+from arrowfold.expectations.judgement import Expectation, Tally, evaluate_all, required_share
 from arrowfold.expectations.plan_settings import action_path, list_settings
 from arrowfold.expectations.reports import Report
 from arrowfold.expectations.sampling import sample_subjects, sample_worlds
@@ -58,7 +58,7 @@
                     self._explain_vacuous(expectation, report, worlds)
                 continue
             report.share = report.good / (report.good + report.bad)
-            report.verdict = "holds" if report.share >= share_owed(expectation.claim) else "fails"
+            report.verdict = "holds" if report.share >= required_share(expectation.claim) else "fails"
             if report.verdict == "fails" and bad and explain:
                 self._explain_failure(expectation, report, bad)
         return reports
@@ -68,9 +68,9 @@
         history = play(world, self.plan)
         yield world.words()
         rows = [(s.at, f"told: {s.server} ({s.zone}, {s.kind}) is {s.state.value}")
-                for s in history.sights]
+                for s in history.listed_states]
         rows += [(o.at, f"{o.server} by itself: {o.state.value}") for o in history.own]
-        for session in history.lives:
+        for session in history.session_records:
             rows.append((session.arrived, f"{session.id} arrives"))
             for a in session.attempts:
                 rows.append((a.sent, f"{session.id}: attempt {a.number} to {a.server}"))
@@ -82,7 +82,7 @@
         for at, text in sorted(rows, key=lambda row: row[0]):
             yield f"  {at.total_seconds():10.3f}  {text}"
         for expectation, tally in zip(
-                self.expectations, judge_all(history, self.expectations, self.regions), strict=True):
+                self.expectations, evaluate_all(history, self.expectations, self.regions), strict=True):
             for finding in tally.bad:
                 yield f"breaks {expectation.name!r}: {finding.text}"
 
@@ -93,7 +93,7 @@
     def _tallies(
             self, world: World, plan: Plan, expectations: Sequence[Expectation]) -> list[Tally]:
         self.played += 1
-        return judge_all(play(world, plan), expectations, self.regions)
+        return evaluate_all(play(world, plan), expectations, self.regions)
 
     # --- explanation -------------------------------------------------------------------------------------
 
@@ -197,9 +197,9 @@
         """Returns the paths of expectations that no routing can satisfy together with this one."""
         subjects = sample_subjects(self.plan, self.expectations)
         return [other.path for other in self.expectations
-                if other is not expectation and contradict(expectation, other, self.plan, subjects)]
+                if other is not expectation and contradicts(expectation, other, self.plan, subjects)]
 
 
 def _is_broken(expectation: Expectation, tally: Tally) -> bool:
     """Whether a world breaks an expectation: its share of good findings is below the required share."""
-    return bool(tally.bad) and tally.good / tally.applied < share_owed(expectation.claim)
+    return bool(tally.bad) and tally.good / tally.applied < required_share(expectation.claim)
--- a/arrowfold/expectations/claims.py
+++ b/arrowfold/expectations/claims.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 from typing import Protocol
 
-from arrowfold.expectations.history import ZERO, Attempt, Life, State, View
+from arrowfold.expectations.history import ZERO, Attempt, SessionRecord, State, View
 
 CAPACITY_DURATION = timedelta(milliseconds=50)  # free capacity must last this long to count
 Regions = Mapping[str, frozenset[str]]  # zones by region
@@ -61,7 +61,7 @@
     """A condition on one session; `attempts` are those selected by the expectation's `When`."""
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         """Yields a finding for each evaluation; none if the claim does not apply to this session."""
 
@@ -74,7 +74,7 @@
     never: bool
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         for attempt in attempts:
             if self.never and not self.target.is_any_in_state(view, attempt.sent):
@@ -97,7 +97,7 @@
     share: float = 1.0
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         for attempt in attempts:
             expected = next((name for name in self.order
@@ -126,7 +126,7 @@
     share: float = 1.0
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         for attempt in attempts:
             listed = view.listed_state(attempt.server, attempt.sent)
@@ -145,7 +145,7 @@
     most: int
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         if attempts:
             count = len(session.attempts)
@@ -158,7 +158,7 @@
     """No attempt starts once an earlier one may have run."""
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         for number, attempt in enumerate(session.attempts):
             if attempt not in attempts:
@@ -180,7 +180,7 @@
     of_silence: bool = False  # counted from the sending of an attempt that is not known to have started
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         if not attempts or attempts[0].number or session.verdict == "left":
             return
@@ -214,7 +214,7 @@
     """A session never has two outstanding attempts."""
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         for attempt in attempts:
             other = next((a for a in session.attempts if a.number < attempt.number
@@ -236,7 +236,7 @@
     at_most: timedelta | None = None
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         if session.verdict == "left":
             return
@@ -264,7 +264,7 @@
     verdict: str | None = None
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         event = self._event(session)
         if event is None or session.verdict == "left":
@@ -279,7 +279,7 @@
         yield Finding(not reason, session.answered or session.deadline,
                       f"{session.id} {reason}" if reason else "")
 
-    def _event(self, session: Life) -> timedelta | None:
+    def _event(self, session: SessionRecord) -> timedelta | None:
         if self.of == "arrival":
             return session.arrived
         if self.of == "deadline":
@@ -301,7 +301,7 @@
     region: str | None = None
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         if session.answered is None or session.verdict == "left" or any(
                 a.status is not None and a.status.name not in ("OK", "FULL") for a in session.attempts):
@@ -326,7 +326,7 @@
     target: Target
 
     def evaluate(
-            self, view: View, regions: Regions, session: Life, attempts: Sequence[Attempt],
+            self, view: View, regions: Regions, session: SessionRecord, attempts: Sequence[Attempt],
     ) -> Iterator[Finding]:
         for attempt in attempts:
             if not self.target.is_any_in_state(view, attempt.sent):
@@ -348,7 +348,7 @@
     return f"{span.total_seconds():.3f} s"
 
 
-def _describe_attempt(session: Life, attempt: Attempt) -> str:
+def _describe_attempt(session: SessionRecord, attempt: Attempt) -> str:
     return f"attempt {attempt.number} of {session.id} went to {attempt.server} at {seconds(attempt.sent)}"
 
 
--- a/arrowfold/expectations/contradictions.py
+++ b/arrowfold/expectations/contradictions.py
@@ -11,7 +11,7 @@
 from arrowfold.routes.table import holds
 
 
-def contradict(
+def contradicts(
         one: Expectation, two: Expectation, plan: Plan, subjects: Sequence[Subject]) -> bool:
     """Whether some request is subject to both expectations, and no outcome that satisfies both exists.
 
--- a/arrowfold/expectations/history.py
+++ b/arrowfold/expectations/history.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class ListedState:
     """State of a server in the list that the node received, and the time of receipt."""
 
     at: timedelta
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class ServerEvent:
     """A state change at the server itself, regardless of when the node learned of it."""
 
     at: timedelta
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class OperatorCommand:
     """An operator's command that takes a server out for maintenance, or returns it to service."""
 
     at: timedelta
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadSample:
     """A load report: free slots of a server, None if it did not report any."""
 
     at: timedelta
@@ -97,7 +97,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class SessionRecord:
     """One session: a request from its arrival to its answer, with its attempts."""
 
     id: str
@@ -116,11 +116,11 @@
     """All recorded events of a node, each list in order of time."""
 
     cold: timedelta = ZERO  # time for which a server is cold after its start
-    sights: list[Sight] = field(default_factory=list)
-    own: list[Own] = field(default_factory=list)
-    calls: list[Call] = field(default_factory=list)
-    reports: list[Report] = field(default_factory=list)  # answers to probes only
-    lives: list[Life] = field(default_factory=list)
+    listed_states: list[ListedState] = field(default_factory=list)
+    own: list[ServerEvent] = field(default_factory=list)
+    commands: list[OperatorCommand] = field(default_factory=list)
+    reports: list[LoadSample] = field(default_factory=list)  # answers to probes only
+    session_records: list[SessionRecord] = field(default_factory=list)
     until: timedelta = ZERO  # end of the recording
 
 
@@ -129,26 +129,26 @@
 
     def __init__(self, history: History) -> None:
         self.history = history
-        self._listed_states: dict[str, list[Sight]] = {}
-        self._own: dict[str, list[Own]] = {}
-        self._reports: dict[str, list[Report]] = {}
+        self._listed_states: dict[str, list[ListedState]] = {}
+        self._own: dict[str, list[ServerEvent]] = {}
+        self._reports: dict[str, list[LoadSample]] = {}
         self._sent: dict[str, list[Attempt]] = {}
         self._failures: dict[str, list[timedelta]] = {}
-        for listed in history.sights:
+        for listed in history.listed_states:
             self._listed_states.setdefault(listed.server, []).append(listed)
         for own in history.own:
             self._own.setdefault(own.server, []).append(own)
-        for session in history.lives:
+        for session in history.session_records:
             for attempt in session.attempts:
                 self._sent.setdefault(attempt.server, []).append(attempt)
                 load_reports = self._reports.setdefault(attempt.server, [])
                 if attempt.ended is not None and attempt.status in _FAILURE_STATUSES:
                     self._failures.setdefault(attempt.server, []).append(attempt.ended)
                 if attempt.started is not None:
-                    load_reports.append(Report(attempt.started, attempt.server, None))
+                    load_reports.append(LoadSample(attempt.started, attempt.server, None))
                 if attempt.ended is not None and attempt.status not in _STATUSES_WITHOUT_REPORT:
                     free = 0.0 if attempt.status is api.Status.FULL else attempt.free
-                    load_reports.append(Report(attempt.ended, attempt.server, free))
+                    load_reports.append(LoadSample(attempt.ended, attempt.server, free))
         for report in history.reports:
             self._reports.setdefault(report.server, []).append(report)
         for rows in (self._listed_states, self._own, self._reports):
@@ -161,7 +161,7 @@
 
     # --- one server --------------------------------------------------------------------------------------
 
-    def listed_state(self, server: str, at: timedelta) -> Sight | None:
+    def listed_state(self, server: str, at: timedelta) -> ListedState | None:
         """Returns the last listed state of a server at a given time, or None if it was never listed."""
         rows = self._listed_states.get(server, [])
         number = bisect_right(rows, at, key=_time_of)
@@ -197,20 +197,20 @@
         number = bisect_right(rows, at, key=_time_of)
         if not number:
             return ZERO
-        own, sights = rows[number - 1], self._listed_states.get(server, [])
-        listing = next((s for s in sights[bisect_left(sights, own.at, key=_time_of):]
+        own, listed_states = rows[number - 1], self._listed_states.get(server, [])
+        listing = next((s for s in listed_states[bisect_left(listed_states, own.at, key=_time_of):]
                         if s.state is own.state and s.at >= own.at), None)
         return (listing.at if listing is not None else self.history.until) - own.at
 
     def _maintenance_since(self, server: str, at: timedelta) -> timedelta | None:
         """Returns the time since which a server is in maintenance; a repeated command changes nothing."""
         since = None
-        for call in self.history.calls:
+        for call in self.history.commands:
             if call.server == server and call.at <= at:
                 since = (since if since is not None else call.at) if call.out else None
         return since
 
-    def _last_report(self, server: str, at: timedelta, with_free_slots: bool = False) -> Report | None:
+    def _last_report(self, server: str, at: timedelta, with_free_slots: bool = False) -> LoadSample | None:
         load_reports = self._reports.get(server, [])
         number = bisect_right(load_reports, at, key=_time_of)
         while number and with_free_slots and load_reports[number - 1].free is None:
@@ -242,10 +242,10 @@
     def has_any_capacity(self, at: timedelta, zones: Collection[str] | None = None) -> bool:
         """Whether some server, in `zones` if given, certainly has free capacity."""
         if zones is None:
-            return any(self.has_room(server, at) for server in self._listed_states)
+            return any(self.has_free_capacity(server, at) for server in self._listed_states)
         return not self.all_in_state(zones, State.FULL, at)
 
-    def has_room(self, server: str, at: timedelta) -> bool:
+    def has_free_capacity(self, server: str, at: timedelta) -> bool:
         """Whether a server certainly has free capacity, as far as the node could know.
 
         It must be in service, neither cold, silent nor full, and without a recent failure. By a load report
@@ -277,15 +277,15 @@
         in_zones = [s for s in self.servers()
                     if (listed := self.listed_state(s, at)) is not None and listed.zone in zones]
         if state is State.FULL:
-            return not any(self.has_room(server, at) for server in in_zones)
+            return not any(self.has_free_capacity(server, at) for server in in_zones)
         return all(self.since(server, state, at) is not None for server in in_zones)
 
 
-def _time_of(row: Sight | Own | Report) -> timedelta:
+def _time_of(row: ListedState | ServerEvent | LoadSample) -> timedelta:
     return row.at
 
 
-def _run_start(rows: list[Sight] | list[Own], state: State, at: timedelta) -> timedelta | None:
+def _run_start(rows: list[ListedState] | list[ServerEvent], state: State, at: timedelta) -> timedelta | None:
     """Returns the start of the unbroken run of rows in a state that ends at a given time, or None."""
     number = bisect_right(rows, at, key=_time_of)
     if not number or rows[number - 1].state is not state:
@@ -300,8 +300,8 @@
 _STATUSES_WITHOUT_REPORT = frozenset({None, api.Status.TIMEOUT, api.Status.CANCELLED, api.Status.MOOT})
 
 
-def sights_of(
-        at: timedelta, update: api.RosterUpdate, known: dict[str, Sight]) -> Iterable[Sight]:
+def read_listed_states(
+        at: timedelta, update: api.RosterUpdate, known: dict[str, ListedState]) -> Iterable[ListedState]:
     """Yields the listed states that follow from one update of the worker list.
 
     `known` holds the last listed state of each server and is updated in place. A server that is missing from
@@ -314,10 +314,10 @@
         listed.add(entry.worker)
         state = LISTED_STATES[entry.lifecycle]
         launched = timedelta(microseconds=entry.launched_us) if entry.launched_us else None
-        known[entry.worker] = Sight(at, entry.worker, entry.zone, entry.kind, state, launched)
+        known[entry.worker] = ListedState(at, entry.worker, entry.zone, entry.kind, state, launched)
         yield known[entry.worker]
     if update.mode is not api.RosterMode.PARTIAL:
         for server, last in list(known.items()):
             if server not in listed and last.state is not State.GONE:
-                known[server] = Sight(at, server, last.zone, last.kind, State.GONE)
+                known[server] = ListedState(at, server, last.zone, last.kind, State.GONE)
                 yield known[server]
--- a/arrowfold/expectations/judgement.py
+++ b/arrowfold/expectations/judgement.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from arrowfold.expectations.claims import Claim, Finding, GoesOver, Prefers, Regions
-from arrowfold.expectations.history import Attempt, History, Life, State, View
+from arrowfold.expectations.history import Attempt, History, SessionRecord, State, View
 from arrowfold.routes.rules import Match
 from arrowfold.routes.table import holds
 
@@ -26,7 +26,7 @@
         """Whether any condition on attempts is set."""
         return bool(self.server or self.region or self.lag_under is not None)
 
-    def attempts(self, view: View, session: Life) -> list[Attempt]:
+    def attempts(self, view: View, session: SessionRecord) -> list[Attempt]:
         """Returns the selected attempts of a session."""
         if not self.of_attempts:
             return session.attempts
@@ -70,7 +70,7 @@
 def evaluate(expectation: Expectation, view: View, regions: Regions) -> Tally:
     """Evaluates one expectation over a history."""
     tally, when = Tally(), expectation.when
-    for session in view.history.lives:
+    for session in view.history.session_records:
         if not holds(when.match, session.subject):
             continue
         attempts = when.attempts(view, session)
@@ -84,12 +84,12 @@
     return tally
 
 
-def share_owed(claim: Claim) -> float:
+def required_share(claim: Claim) -> float:
     """Returns the share of findings that must be good: 1 unless the claim permits less."""
     return claim.share if isinstance(claim, Prefers | GoesOver) else 1.0
 
 
-def judge_all(history: History, expectations: Sequence[Expectation], regions: Regions) -> list[Tally]:
+def evaluate_all(history: History, expectations: Sequence[Expectation], regions: Regions) -> list[Tally]:
     """Evaluates all expectations over a history, in their order."""
     view = View(history)
     return [evaluate(expectation, view, regions) for expectation in expectations]
--- a/arrowfold/expectations/sampling.py
+++ b/arrowfold/expectations/sampling.py
@@ -97,7 +97,7 @@
             yield Subject(name, region, key, min(match.tenants, default=None), client, bool(match.retry))
 
 
-def fleet_of(
+def derive_fleet(
         settings: api.Settings, routes: Routes, listed: Iterable[tuple[str, str]], named: Mapping[str, None],
 ) -> tuple[tuple[str, str], ...]:
     """Returns the pairs of zone and kind in the fleet.
--- a/arrowfold/expectations/worlds.py
+++ b/arrowfold/expectations/worlds.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 
 from arrowfold import interface as api
-from arrowfold.expectations.history import History, Own, State
+from arrowfold.expectations.history import History, ServerEvent, State
 from arrowfold.expectations.memory_server import MS, SLOTS, SimulatedServer
 from arrowfold.expectations.recorder import DiscardingClient, Recorder
 from arrowfold.expectations.virtual_clock import START, Clock
@@ -81,7 +81,7 @@
         clock.run(last + longest + TAIL_TIME, lambda: (
             self.arrived == world.arrivals and not core.sessions and clock.time >= last))
         self.history.until = clock.time
-        self.history.sights.sort(key=lambda sight: sight.at)
+        self.history.listed_states.sort(key=lambda sight: sight.at)
         return self.history
 
     def _rows(self, servers: Collection[SimulatedServer]) -> list[Row]:
@@ -140,7 +140,7 @@
             self.clock.call_later(lag, lambda: self.core.list_servers("list", rows))
 
     def _record_own(self, servers: list[SimulatedServer], state: State) -> None:
-        self.history.own += [Own(self.clock.now(), server.name, state) for server in servers]
+        self.history.own += [ServerEvent(self.clock.now(), server.name, state) for server in servers]
 
     def _drain(self, servers: list[SimulatedServer]) -> None:
         for server in servers:
--- a/arrowfold/program/commands.py
+++ b/arrowfold/program/commands.py
@@ -109,7 +109,7 @@
     TRACE is the file that the document's trace node has a node write. Claims that count from what a server
     did itself need --fleet. Exit codes as for check.
     """
-    from arrowfold.expectations.judgement import judge_all, share_owed
+    from arrowfold.expectations.judgement import evaluate_all, required_share
     from arrowfold.expectations.reports import Report
     from arrowfold.program.judging import TraceError, read_history
 
@@ -118,18 +118,18 @@
         history, dropped_spans = read_history(trace, fleet)
     except TraceError as error:
         raise InputFault(str(error)) from error
-    tallies = judge_all(history, document.expectations, document.routes.regions)
+    tallies = evaluate_all(history, document.expectations, document.routes.regions)
     reports = []
     for expectation, tally in zip(document.expectations, tallies, strict=True):
         report = Report(expectation.name, expectation.path, "vacuous", bool(tally.applied), tally.good,
                         len(tally.bad))
         if tally.applied:
             report.share = tally.good / tally.applied
-            report.verdict = "holds" if report.share >= share_owed(expectation.claim) else "fails"
+            report.verdict = "holds" if report.share >= required_share(expectation.claim) else "fails"
         if report.verdict == "fails":
             report.broke = tally.bad[0].text
         reports.append(report)
-    _print_reports(reports, as_json, {"sessions": len(history.lives), "spans_dropped": dropped_spans})
+    _print_reports(reports, as_json, {"sessions": len(history.session_records), "spans_dropped": dropped_spans})
 
 
 @cli.command()
@@ -225,7 +225,7 @@
 def build_plan(document: EdgeDocument, settings: Path | None) -> Plan:
     """Builds the check's plan: the settings from the option or the document, routes, fleet and quotas."""
     from arrowfold.expectations.claims import AtMostAt, Reaches
-    from arrowfold.expectations.sampling import fleet_of
+    from arrowfold.expectations.sampling import derive_fleet
     from arrowfold.expectations.worlds import Plan
     from arrowfold.program.config import ConfigError, read_settings
 
@@ -239,7 +239,7 @@
         raise InputFault(f"configuration: {error}") from error
     targets = [e.claim.target for e in document.expectations if isinstance(e.claim, Reaches | AtMostAt)]
     kinds = {target.kind: None for target in targets if target.kind is not None}
-    fleet = fleet_of(platform_settings, document.routes, document.check.fleet or zones_and_kinds, kinds)
+    fleet = derive_fleet(platform_settings, document.routes, document.check.fleet or zones_and_kinds, kinds)
     return Plan(platform_settings, document.routes, fleet, document.quotas)
 
 
--- a/arrowfold/program/judging.py
+++ b/arrowfold/program/judging.py
@@ -9,7 +9,17 @@
 from typing import Any
 
 from arrowfold import interface as api
-from arrowfold.expectations.history import ZERO, Attempt, Call, History, Life, Own, Report, Sight, State
+from arrowfold.expectations.history import (
+    ZERO,
+    Attempt,
+    History,
+    ListedState,
+    LoadSample,
+    OperatorCommand,
+    ServerEvent,
+    SessionRecord,
+    State,
+)
 from arrowfold.routes.rules import Subject
 
 EPOCH = datetime(1970, 1, 1)
@@ -27,7 +37,7 @@
     gone): the workers' own state changes, as recorded by their deployment.
     """
     history, dropped_spans = History(), 0
-    sessions: dict[str, Life] = {}
+    sessions: dict[str, SessionRecord] = {}
     attempts: list[tuple[str, Attempt]] = []
     for location, row in _read_rows(trace):
         try:
@@ -39,13 +49,13 @@
                     history.cold = attributes["cold_us"] * MICROSECOND
                 case "server":
                     launched = attributes["launched_us"] * MICROSECOND
-                    history.sights.append(Sight(
+                    history.listed_states.append(ListedState(
                         start, attributes["server"], attributes["zone"], attributes["kind"],
                         State(attributes["state"]), launched if launched else None))
                 case "call":
-                    history.calls.append(Call(start, attributes["server"], attributes["out"]))
+                    history.commands.append(OperatorCommand(start, attributes["server"], attributes["out"]))
                 case "report":
-                    history.reports.append(Report(start, attributes["server"], attributes["free_slots"]))
+                    history.reports.append(LoadSample(start, attributes["server"], attributes["free_slots"]))
                 case "session":
                     sessions[row["context"]["span_id"]] = _read_life(attributes, start, end)
                 case "dispatch":
@@ -64,16 +74,16 @@
             sessions[parent_id].attempts.append(attempt)
     for life in sessions.values():
         life.attempts.sort(key=lambda attempt: attempt.number)
-    history.lives = sorted(sessions.values(), key=lambda life: life.arrived)
-    history.sights.sort(key=lambda sight: sight.at)
+    history.session_records = sorted(sessions.values(), key=lambda life: life.arrived)
+    history.listed_states.sort(key=lambda sight: sight.at)
     if fleet is not None:
         history.own = sorted(_read_own_states(fleet), key=lambda own: own.at)
     return history, dropped_spans
 
 
-def _read_life(attributes: dict[str, Any], start: timedelta, end: timedelta) -> Life:
+def _read_life(attributes: dict[str, Any], start: timedelta, end: timedelta) -> SessionRecord:
     retry_after_us = attributes.get("retry_after_us")
-    return Life(
+    return SessionRecord(
         attributes["session"],
         Subject(attributes["class"], attributes.get("region"), attributes.get("key"),
                 attributes.get("tenant"), attributes.get("client"), attributes["resent"]),
@@ -82,13 +92,13 @@
         retry_after_us * MICROSECOND if retry_after_us is not None else None)
 
 
-def _read_own_states(path: Path) -> Iterator[Own]:
+def _read_own_states(path: Path) -> Iterator[ServerEvent]:
     for location, row in _read_rows(path):
         try:
             at = timedelta(seconds=row["at"])
             if at < ZERO:
                 raise ValueError("at is negative")
-            yield Own(at, str(row["server"]), State(row["state"]))
+            yield ServerEvent(at, str(row["server"]), State(row["state"]))
         except (KeyError, TypeError, ValueError) as error:
             raise TraceError(f"{location}: {type(error).__name__}: {error}") from error
 
--- a/arrowfold/program/trace.py
+++ b/arrowfold/program/trace.py
@@ -17,7 +17,7 @@
 from opentelemetry.trace import set_span_in_context
 
 from arrowfold import interface as api
-from arrowfold.expectations.history import Sight, sights_of
+from arrowfold.expectations.history import ListedState, read_listed_states
 from arrowfold.program.edge import TraceConfig
 from arrowfold.routing.session import Answer, Dispatch, Logging, Session, to_us
 from arrowfold.transport.loop import ZERO, Loop
@@ -38,7 +38,7 @@
         self._size = self._file.tell()
         self._queue: deque[ReadableSpan] = deque()
         self._is_write_scheduled = self._is_full = False
-        self._last_sights: dict[str, Sight] = {}
+        self._last_sights: dict[str, ListedState] = {}
         provider = TracerProvider(
             sampler=ALWAYS_ON, shutdown_on_exit=False,
             resource=Resource({"service.name": "arrowfold", "service.instance.id": name}))
@@ -56,7 +56,7 @@
         self._record_event("call", {"server": server, "out": out})
 
     def listed(self, update: api.RosterUpdate) -> None:
-        for sight in sights_of(self.loop.now(), update, self._last_sights):
+        for sight in read_listed_states(self.loop.now(), update, self._last_sights):
             self._record_event("server", {
                 "server": sight.server, "zone": sight.zone, "kind": sight.kind, "state": sight.state.value,
                 "launched_us": to_us(sight.launched) if sight.launched is not None else 0})
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -79,7 +79,7 @@
 
     name: str
     patches: tuple[tuple[type, str, Any], ...]
-    noticed: str | None
+    detected_by: str | None
     why: str = ""
 
     @contextmanager
@@ -198,9 +198,9 @@
     return seek, judge
 
 
-def _without_retry(name: str, noticed: str, *statuses: api.Status) -> Fault:
+def _without_retry(name: str, detected_by: str, *statuses: api.Status) -> Fault:
     seek, judge = _ending_on(*statuses)
-    return Fault(name, ((Dispatcher, "_search", seek), (Dispatcher, "_note_outcome", judge)), noticed)
+    return Fault(name, ((Dispatcher, "_search", seek), (Dispatcher, "_note_outcome", judge)), detected_by)
 
 
 def _first_tier_only(self: Dispatcher, request: Request, fit: Any) -> None:
@@ -342,7 +342,7 @@
     for fault in FAULTS)
 
 
-def caught(fault: Fault, only: str | None = None) -> list[str]:
+def failing_expectations(fault: Fault, only: str | None = None) -> list[str]:
     """Returns the expectations that no longer hold with the fault; checks only `only` if it is given."""
     with tempfile.TemporaryDirectory() as folder:
         read, check = document(Path(folder))
@@ -352,13 +352,13 @@
 
 
 def _measure(number: int) -> tuple[str, list[str]]:
-    return FAULTS[number].name, caught(FAULTS[number])
+    return FAULTS[number].name, failing_expectations(FAULTS[number])
 
 
 def main() -> int:
     """Prints the table. Returns 0 if at least 23 faults are detected."""
     none = Fault("none", (), None)
-    if failing := caught(none):
+    if failing := failing_expectations(none):
         print(f"without a fault these do not hold: {failing}", file=sys.stderr)
         return 1
     with ProcessPoolExecutor() as pool:
@@ -366,7 +366,7 @@
     found = sum(bool(names) for _, names in rows)
     print(f"{found} of {len(rows)} faults are caught.\n\n| fault | caught by | others |\n| --- | --- | --- |")
     for (name, names), fault in zip(rows, FAULTS, strict=True):
-        first = (fault.noticed if fault.noticed in names
+        first = (fault.detected_by if fault.detected_by in names
                  else names[0] if names else f"nobody: {fault.why}")
         print(f"| {name} | {first} | {max(0, len(names) - 1)} |")
     return 0 if found >= 23 else 1
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -76,7 +76,7 @@
         self.session(trace, "a")
         trace.close()
         history, dropped = read_history(self.path)
-        (life,) = history.lives
+        (life,) = history.session_records
         (attempt,) = life.attempts
         self.assertEqual((history.cold, dropped), (9 * SECOND, 0))
         self.assertEqual((life.id, life.verdict, life.deadline), ("a", "served", 1005 * SECOND))
@@ -167,7 +167,7 @@
         plan = build_plan(read_edge(ROOT / "deploy/edge.kdl"), None)
         history = play(World("full-search", event="drain", target="all", lag=200, arrivals=8), plan)
         view = View(history)
-        listed_at = {s.server: s.at for s in history.sights if s.state is State.DRAINING}
+        listed_at = {s.server: s.at for s in history.listed_states if s.state is State.DRAINING}
         self.assertEqual(len(listed_at), 6)
         for server, at in listed_at.items():
             own = view.since(server, State.DRAINING, at, own=True)
@@ -176,13 +176,13 @@
             assert own is not None
             self.assertEqual(at - own, timedelta(milliseconds=200))
             self.assertEqual(view.lag(server, at), timedelta(milliseconds=200))
-            self.assertFalse(view.has_room(server, at))
+            self.assertFalse(view.has_free_capacity(server, at))
 
     def test_silent_is_one_second_without_a_message(self) -> None:
         plan = build_plan(read_edge(ROOT / "deploy/edge.kdl"), None)
         history = play(World("full-search", event="silent", target="all", at=60, arrivals=6), plan)
         view, found = View(history), 0
-        for life in history.lives:
+        for life in history.session_records:
             for attempt in life.attempts:
                 if attempt.started is None and attempt.ended is not None \
                         and attempt.ended - attempt.sent > SECOND:
