--- a/arrowfold/program/commands.py
+++ b/arrowfold/program/commands.py
@@ -129,7 +129,8 @@
         if report.verdict == "fails":
             report.broke = tally.bad[0].text
         reports.append(report)
-    _print_reports(reports, as_json, {"sessions": len(history.session_records), "spans_dropped": dropped_spans})
+    _print_reports(
+        reports, as_json, {"sessions": len(history.session_records), "spans_dropped": dropped_spans})
 
 
 @cli.command()
--- a/arrowfold/protocol/discovery.py
+++ b/arrowfold/protocol/discovery.py
@@ -74,7 +74,7 @@
         self.has_progress = False  # whether the last bytes completed a message or a keep-alive
 
     def feed(self, data: bytes) -> list[Any]:
-        """Returns the messages completed by `data`. ValueError if one is not JSON, StreamBroken if too large."""
+        """The messages completed by `data`. ValueError if one is not JSON, StreamBroken if too large."""
         self.unfinished_line += data
         self.has_progress, messages = False, []
         *lines, rest = self.unfinished_line.split(b"\n")
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -296,7 +296,9 @@
           "cardiff's searches are served elsewhere when cardiff has no room"),
     Fault("all regions at once", ((Dispatcher, "_search", _starting_at_last_tier),),
           "cardiff's searches stay in cardiff while it has room"),
-    Fault("cold budget off", ((Dispatcher, "_has_cold_turn", _return_true),), "a cold worker is not pushed over"),
+    Fault(
+        "cold budget off", ((Dispatcher, "_has_cold_turn", _return_true),),
+        "a cold worker is not pushed over"),
     Fault("starts forgotten", ((Dispatcher, "_warmth", _return_full_warmth),),
           "a cold worker is not pushed over"),
     Fault("silence overlooked", ((Dispatcher, "_on_overdue", _do_nothing),),
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -46,7 +46,8 @@
         with contextlib.ExitStack() as stack:
             for port, count in ((node.port, 150), (node.admin, 40)):
                 for n in range(count):
-                    sock = stack.enter_context(socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S))
+                    sock = stack.enter_context(
+                        socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S))
                     if n % 2:
                         sock.sendall(b"st")
             for _ in range(5):
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -186,7 +186,8 @@
         node = self.node(*workers, limits={"sockets": 112})
         for n in range(40):  # so that the node knows how long a job runs
             node.post(f"warm{n}", "once")
-        other_clients = [socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S) for _ in range(45)]
+        other_clients = [
+            socket.create_connection(("127.0.0.1", node.port), timeout=TIMEOUT_S) for _ in range(45)]
         for sock in other_clients:
             sock.sendall(b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n")
         time.sleep(0.3)  # new connections are not closed at once
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -41,7 +41,8 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.agent, self.removed, self.listed = ManualServer("discovery"), ManualServer("s1"), self.worker("s2")
+        self.agent, self.removed, self.listed = (
+            ManualServer("discovery"), ManualServer("s1"), self.worker("s2"))
         self.addCleanup(self.agent.close)
         self.addCleanup(self.removed.close)
         self.answers: list[Any] = []
@@ -58,7 +59,8 @@
         eventually(lambda: node.counters().get("taken") == 1)
         return thread
 
-    def assert_served_from_the_list(self, peer: ServerConnection, node: Node, thread: threading.Thread) -> None:
+    def assert_served_from_the_list(
+            self, peer: ServerConnection, node: Node, thread: threading.Thread) -> None:
         self.assertEqual(node.readiness_status(), 503)
         peer.send_bytes(WATCH_HEAD)
         peer.chunk(listing(7, self.listed.row()))
