--- a/benchmarks/fleet/__main__.py
+++ b/benchmarks/fleet/__main__.py
@@ -15,7 +15,7 @@
 from arrowfold.choice import Dispatcher
 from arrowfold.simhost import build_settings
 from benchmarks.fleet.days import DAYS
-from benchmarks.fleet.deciders import Plain, Seeing
+from benchmarks.fleet.deciders import OracleDecider, RandomDecider
 from benchmarks.fleet.servers import SECOND
 from benchmarks.fleet.world import BUCKET_US, Decider, World
 
@@ -24,39 +24,43 @@
            "crossing beside room at home", "denied", "denied beside idle slots", "late", "cancelled")
 
 
-def module(settings: Any, seed: int, world: World) -> Dispatcher:
-    """The real decisions."""
-    return Dispatcher(settings, seed, world.counted)
+def make_module(settings: Any, seed: int, world: World) -> Dispatcher:
+    """Makes a real dispatcher."""
+    return Dispatcher(settings, seed, world.module_counters)
 
 
-def plain(settings: Any, seed: int, world: World) -> Plain:
-    """A draw by chance."""
-    return Plain(settings, seed)
+def make_random(settings: Any, seed: int, world: World) -> RandomDecider:
+    """Makes a decider that chooses at random."""
+    return RandomDecider(settings, seed)
 
 
-def seeing(settings: Any, seed: int, world: World) -> Seeing:
-    """The true state at the moment of the choice."""
+def make_oracle(settings: Any, seed: int, world: World) -> OracleDecider:
+    """Makes a decider that knows each worker's load at the moment of the choice."""
     def load(name: str) -> float:
-        server = world.servers[name]
-        if not server.up or server.draining or server.bad:
-            return 9.0
-        return (server.busy + len(server.queue)) / (server.slots * server.warmth())
-    return Seeing(settings, seed, load)
+        worker = world.workers[name]
+        if not worker.is_up or worker.draining or worker.is_failing:
+            return 9.0  # far above any real load, so that it is chosen last
+        return (worker.busy + len(worker.queue)) / (worker.slots * worker.capacity_share())
+    return OracleDecider(settings, seed, load)
 
 
-Maker = Callable[[Any, int, World], Decider]
-DECIDERS: dict[str, Maker] = {"module": module, "plain": plain, "seeing": seeing}
+DeciderFactory = Callable[[Any, int, World], Decider]
+DECIDERS: dict[str, DeciderFactory] = {"module": make_module, "plain": make_random, "seeing": make_oracle}
 
 
-def shipped() -> api.Settings:
-    """The example deployment's settings."""
+def example_settings() -> api.Settings:
+    """Loads the settings of the example deployment."""
     return build_settings(json.loads(SETTINGS.read_text())["settings"])
 
 
 def play(day: str, decider: str = "module", nodes: int = 200, servers: int = 110, zones: int = 3,
          seed: int = 1, load: float = 0.8, seconds: int = 25, settings: api.Settings | None = None) -> World:
-    """One day; the world holds its figures. The settings are the shipped ones if none are given."""
-    settings = settings or shipped()
+    """Simulates one day and returns its world, which holds the figures.
+
+    `load` is the offered work as a share of the workers' capacity. Without `settings` those of the
+    example deployment apply.
+    """
+    settings = settings or example_settings()
     world = World(settings, zones, nodes, servers, seed, load, DECIDERS[decider])
     DAYS[day](world)
     world.run(seconds * SECOND)
@@ -75,7 +79,7 @@
 @click.option("--json", "as_json", is_flag=True, help="The figures of each 100 ms, a line each.")
 def main(as_json: bool, day: str, decider: str, **options: Any) -> None:
     """Play DAY and print what all nodes together did."""
-    begun = time.perf_counter()
+    started_s = time.perf_counter()
     world = play(day, decider, **options)
     if as_json:
         for at, bucket in sorted(world.buckets.items()):
@@ -83,10 +87,10 @@
     else:
         _table(world)
     click.echo(json.dumps(world.figures()))
-    click.echo(f"{time.perf_counter() - begun:.1f} s of real time", err=True)
-    for line in world.broken[:10]:
+    click.echo(f"{time.perf_counter() - started_s:.1f} s of real time", err=True)
+    for line in world.violations[:10]:
         click.echo(f"broken: {line}")
-    raise SystemExit(1 if world.broken else 0)
+    raise SystemExit(1 if world.violations else 0)
 
 
 def _table(world: World) -> None:
--- a/benchmarks/fleet/servers.py
+++ b/benchmarks/fleet/servers.py
@@ -1,4 +1,4 @@
-"""Modelled backend servers: slots, a bounded queue, cold starts, old reports, connections that cost."""
+"""Model of a backend worker: slots, a bounded queue, cold starts, delayed load reports, connection costs."""
 
 from __future__ import annotations
 
@@ -12,34 +12,35 @@
 
 MS = 1_000
 SECOND = 1_000_000
-FETCH = 0.5  # work that a key not kept here adds, as a part of a job's own
-SHARDS = 12  # keys that a server keeps
-QUEUE = 1.0  # jobs that may wait, as a part of its slots
-DOWN_US = 3 * SECOND
-CONNECTIONS = 90
+FETCH_COST = 0.5  # extra work for a key that is not cached, as a share of the request's own work
+MAX_CACHED_KEYS = 12  # keys in a worker's cache, least recently used evicted first
+QUEUE_SHARE = 1.0  # maximum queue length as a share of the slots
+RESTART_US = 3 * SECOND
+MAX_CONNECTIONS = 90
 HANDSHAKE_US = 6 * MS
 
 
 @dataclass(eq=False, slots=True)
-class Run:
-    """One attempt as its server sees it; `work_us` at speed 1, without fetches."""
+class Attempt:
+    """One attempt as its worker sees it. `work_us` is the run time at speed 1, without cache misses."""
 
     work_us: int
     key: str
-    told_start: Callable[[], None]
-    told_end: Callable[[api.Status], None]
+    on_start: Callable[[], None]
+    on_end: Callable[[api.Status], None]
     node: int
     ended: bool = False
     running: bool = False
-    connected: int | None = None  # by which start of its server
-    reported: bool = False  # its node knows how it ended
+    connected_boot: int | None = None  # `boot_count` of the worker when the connection was made
+    end_reported: bool = False  # the node has received the attempt's end
 
 
 @dataclass(eq=False)
-class Server:
-    """One server; `call(delay_us, function)` is the world's clock, `now()` its time.
+class Worker:
+    """One worker. `schedule(delay_us, function)` queues a function on the world's clock; `now()` reads it.
 
-    `pushed(sent)` hears what a cold server was sent when it fell over: times, work and nodes.
+    `on_overload(worker, sends)` is called when a cold worker crashes from overload, with the attempts sent
+    to it within the overload window as (time, work, node number).
     """
 
     settings: api.Settings
@@ -50,124 +51,130 @@
     speed: float
     started_us: int
     now: Callable[[], int]
-    call: Callable[[float, Callable[[], object]], None]
-    chance: random.Random
-    pushed: Callable[[Server, list[tuple[int, int, int]]], None]
-    up: bool = True
+    schedule: Callable[[float, Callable[[], object]], None]
+    rng: random.Random
+    on_overload: Callable[[Worker, list[tuple[int, int, int]]], None]
+    is_up: bool = True
     draining: bool = False
-    bad: bool = False
+    is_failing: bool = False
     busy: int = 0
-    open: int = 0  # connections
-    start: int = 0  # how often it has started anew: its connections ended with each
+    open_connections: int = 0
+    boot_count: int = 0  # restarts so far; each one closes all connections
     errors: float = 0.0
-    held: list[Run] = field(default_factory=list)
-    queue: deque[Run] = field(default_factory=deque)
-    kept: OrderedDict[str, None] = field(default_factory=OrderedDict)
-    sent: deque[tuple[int, int, int]] = field(default_factory=deque)  # time, work, node
-    pressed: float = 0.0  # work in `sent`
-    peak: float = 0.0  # the largest part of the cold budget that was ever used
-    falls: int = 0
-    shown: api.LoadReport | None = None
-    shown_us: int = -1
-
-    def warmth(self) -> float:
-        """The share of its capacity that it has now."""
-        age, whole, least = self.now() - self.started_us, self.settings.cold_us, self.settings.cold_from
-        return 1.0 if not self.started_us or age >= whole else least + (1 - least) * age / whole
+    active: list[Attempt] = field(default_factory=list)
+    queue: deque[Attempt] = field(default_factory=deque)
+    cached_keys: OrderedDict[str, None] = field(default_factory=OrderedDict)
+    # Attempts within the overload window: (time in us, work in us, node number).
+    recent_sends: deque[tuple[int, int, int]] = field(default_factory=deque)
+    recent_work_us: float = 0.0  # total work in `recent_sends`
+    peak_budget_use: float = 0.0  # largest share of the cold-start budget used
+    crash_count: int = 0
+    cached_report: api.LoadReport | None = None
+    report_refresh_us: int = -1
+
+    def capacity_share(self) -> float:
+        """Returns the share of full capacity available now; below 1 during warm-up."""
+        age_us, warm_up_us, initial_share = (
+            self.now() - self.started_us, self.settings.cold_us, self.settings.cold_from)
+        return 1.0 if not self.started_us or age_us >= warm_up_us else (
+            initial_share + (1 - initial_share) * age_us / warm_up_us)
 
     def report(self) -> api.LoadReport:
-        """What it says of itself: refreshed now and then, so 0.05 to 1.5 s old when read."""
-        if self.now() >= self.shown_us:
-            free = self.slots - self.busy - len(self.queue)
-            self.shown = api.LoadReport(
-                free_slots=max(0.0, free + self.chance.gauss(0, 0.2)), held=self.busy + len(self.queue),
+        """Returns the worker's load report. It is refreshed every 0.1 to 1.5 s, so it may be out of date."""
+        if self.now() >= self.report_refresh_us:
+            free_slots = self.slots - self.busy - len(self.queue)
+            self.cached_report = api.LoadReport(
+                free_slots=max(0.0, free_slots + self.rng.gauss(0, 0.2)), held=self.busy + len(self.queue),
                 errors=self.errors)
             self.errors *= 0.5
-            self.shown_us = self.now() + int(self.chance.uniform(100 * MS, 1500 * MS))
-        assert self.shown is not None
-        return self.shown
-
-    def take(self, run: Run) -> None:
-        """An attempt's last byte has come."""
-        if not self.up:
-            run.told_end(api.Status.CONNECT_FAILED)
+            self.report_refresh_us = self.now() + int(self.rng.uniform(100 * MS, 1500 * MS))
+        assert self.cached_report is not None
+        return self.cached_report
+
+    def accept(self, attempt: Attempt) -> None:
+        """Handles an attempt that has arrived whole: queues it, or ends it with an error or a refusal."""
+        if not self.is_up:
+            attempt.on_end(api.Status.CONNECT_FAILED)
             return
-        self._press(run)
-        if self.bad:
+        self._record_cold_work(attempt)
+        if self.is_failing:
             self.errors += 1
-            self.call(5 * MS, lambda: run.told_end(api.Status.ERROR))
-        elif not self.up or self.draining or len(self.queue) >= QUEUE * self.slots:
-            run.told_end(api.Status.FULL)
+            self.schedule(5 * MS, lambda: attempt.on_end(api.Status.ERROR))
+        elif not self.is_up or self.draining or len(self.queue) >= QUEUE_SHARE * self.slots:
+            attempt.on_end(api.Status.FULL)
         else:
-            self.held.append(run)
-            self.queue.append(run)
-            self._next()
+            self.active.append(attempt)
+            self.queue.append(attempt)
+            self._start_queued()
 
-    def drop(self, run: Run) -> None:
-        """Its node has given the attempt up: what waits leaves, what runs is stopped."""
-        if run.ended:
+    def cancel(self, attempt: Attempt) -> None:
+        """Removes an attempt that its node has cancelled, whether it is queued or running."""
+        if attempt.ended:
             return
-        run.ended = True
-        self.held.remove(run)
-        if run.running:
+        attempt.ended = True
+        self.active.remove(attempt)
+        if attempt.running:
             self.busy -= 1
         else:
-            self.queue.remove(run)
-        self._next()
+            self.queue.remove(attempt)
+        self._start_queued()
 
-    def fall(self, back_us: int) -> None:
-        """Down at once; cold when it is back."""
-        self.up, self.busy, self.open, self.start = False, 0, 0, self.start + 1
+    def crash(self, restart_us: int) -> None:
+        """Ends all attempts and connections at once.
+
+        The worker restarts cold after `restart_us`, or never if that is 0.
+        """
+        self.is_up, self.busy, self.open_connections, self.boot_count = False, 0, 0, self.boot_count + 1
         self.queue.clear()
-        self.kept.clear()
-        for run in self.held:
-            run.ended = True
-            run.told_end(api.Status.RESET if run.running else api.Status.CONNECT_FAILED)
-        self.held = []
-        if back_us:
-            self.call(back_us, self._back)
-
-    def _back(self) -> None:
-        self.up, self.started_us, self.draining = True, self.now(), False
-        self.sent.clear()
-        self.pressed = 0.0
-
-    def _press(self, run: Run) -> None:
-        """All work that reaches a cold server presses it, even what it turns away."""
-        if self.warmth() >= 1.0:
+        self.cached_keys.clear()
+        for attempt in self.active:
+            attempt.ended = True
+            attempt.on_end(api.Status.RESET if attempt.running else api.Status.CONNECT_FAILED)
+        self.active = []
+        if restart_us:
+            self.schedule(restart_us, self._restart)
+
+    def _restart(self) -> None:
+        self.is_up, self.started_us, self.draining = True, self.now(), False
+        self.recent_sends.clear()
+        self.recent_work_us = 0.0
+
+    def _record_cold_work(self, attempt: Attempt) -> None:
+        """Counts work that reaches a cold worker, even if refused, and crashes the worker over the budget."""
+        if self.capacity_share() >= 1.0:
             return
         now = self.now()
-        self.sent.append((now, run.work_us, run.node))
-        self.pressed += run.work_us
-        window = self.settings.overload_for_us
-        while self.sent and self.sent[0][0] <= now - window:
-            self.pressed -= self.sent.popleft()[1]
-        able = self.slots * self.speed * self.warmth() * window
-        used = self.pressed / (self.settings.overload_factor * able)
-        self.peak = max(self.peak, used)
-        if used > 1.0:
-            self.falls += 1
-            self.pushed(self, list(self.sent))
-            self.fall(DOWN_US)
-
-    def _next(self) -> None:
+        self.recent_sends.append((now, attempt.work_us, attempt.node))
+        self.recent_work_us += attempt.work_us
+        window_us = self.settings.overload_for_us
+        while self.recent_sends and self.recent_sends[0][0] <= now - window_us:
+            self.recent_work_us -= self.recent_sends.popleft()[1]
+        capacity_us = self.slots * self.speed * self.capacity_share() * window_us
+        budget_use = self.recent_work_us / (self.settings.overload_factor * capacity_us)
+        self.peak_budget_use = max(self.peak_budget_use, budget_use)
+        if budget_use > 1.0:
+            self.crash_count += 1
+            self.on_overload(self, list(self.recent_sends))
+            self.crash(RESTART_US)
+
+    def _start_queued(self) -> None:
         while self.queue and self.busy < self.slots:
-            run = self.queue.popleft()
-            run.running = True
+            attempt = self.queue.popleft()
+            attempt.running = True
             self.busy += 1
-            work = run.work_us * (1.0 if run.key in self.kept else 1.0 + FETCH)
-            self.kept[run.key] = None
-            self.kept.move_to_end(run.key)
-            if len(self.kept) > SHARDS:
-                self.kept.popitem(last=False)
-            run.told_start()
-            self.call(work / self.speed / self.warmth(), partial(self._done, run))
-
-    def _done(self, run: Run) -> None:
-        if run.ended:
+            work_us = attempt.work_us * (1.0 if attempt.key in self.cached_keys else 1.0 + FETCH_COST)
+            self.cached_keys[attempt.key] = None
+            self.cached_keys.move_to_end(attempt.key)
+            if len(self.cached_keys) > MAX_CACHED_KEYS:
+                self.cached_keys.popitem(last=False)
+            attempt.on_start()
+            self.schedule(work_us / self.speed / self.capacity_share(), partial(self._complete, attempt))
+
+    def _complete(self, attempt: Attempt) -> None:
+        if attempt.ended:
             return
-        run.ended = True
+        attempt.ended = True
         self.busy -= 1
-        self.held.remove(run)
-        run.told_end(api.Status.OK)
-        self._next()
+        self.active.remove(attempt)
+        attempt.on_end(api.Status.OK)
+        self._start_queued()
--- a/tests/test_virtual_fleet.py
+++ b/tests/test_virtual_fleet.py
@@ -10,7 +10,7 @@
 from arrowfold import interface as api
 from benchmarks.fleet import __main__ as fleet
 from benchmarks.fleet.days import DAYS
-from benchmarks.fleet.deciders import Plain
+from benchmarks.fleet.deciders import RandomDecider
 from benchmarks.fleet.world import World
 
 SMALL = {"nodes": 14, "servers": 9, "seconds": 8}
@@ -21,13 +21,13 @@
         for day in DAYS:
             with self.subTest(day):
                 first, again = (fleet.play(day, seed=3, **SMALL) for _ in range(2))
-                self.assertEqual(first.broken, [])
+                self.assertEqual(first.violations, [])
                 self.assertEqual(first.figures(), again.figures())
                 self.assertGreater(first.figures()["in time"], 100)
 
     def test_other_decisions_meet_the_same_arrivals(self) -> None:
-        """Streams of chance are apart: what a decider does leaves what clients want alone."""
-        offered = [fleet.play("calm", decider, seed=3, **SMALL).offered for decider in fleet.DECIDERS]
+        """Each part has its own random stream, so a decider's choices don't change the arrivals."""
+        offered = [fleet.play("calm", decider, seed=3, **SMALL).offered_value for decider in fleet.DECIDERS]
         self.assertEqual(offered[0], offered[1])
         self.assertEqual(offered[0], offered[2])
 
@@ -39,42 +39,42 @@
 
 class ColdBudget(unittest.TestCase):
     def test_all_nodes_together_keep_to_it_and_use_it(self) -> None:
-        """Rule 4 holds over a fleet whose nodes share nothing; the budget is no use where it lies idle."""
+        """Rule 4 holds though the nodes share no state, and the cold-start budget is used."""
         for day in ("join", "zone"):
             with self.subTest(day):
                 world = fleet.play(day, seed=3, nodes=26, servers=15, seconds=16)
                 used = world.figures()
-                self.assertEqual((world.broken, used["falls"]), ([], 0))
+                self.assertEqual((world.violations, used["falls"]), ([], 0))
                 self.assertLess(used["cold peak"], 1)
                 self.assertGreater(used["cold peak"], 0.2)
 
 
-class Twice(Plain):
+class AnswersTwice(RandomDecider):
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         actions = super().handle(now_us, events)
         return actions + [a for a in actions if isinstance(a, api.Refuse)]
 
 
-class Never(Plain):
+class NeverAnswers(RandomDecider):
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         return [a for a in super().handle(now_us, events) if isinstance(a, api.Subscribe)]
 
 
-class Deaf(Plain):
-    """Goes on sending to whatever it first knew."""
+class IgnoresUpdates(RandomDecider):
+    """Ignores discovery's updates after the first list."""
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         return super().handle(now_us, [
-            e for e in events if not (self.serving and isinstance(e, api.RosterUpdate))])
+            e for e in events if not (self.in_service and isinstance(e, api.RosterUpdate))])
 
 
-class Copies(Plain):
-    def _go_on(self, request: str) -> list[api.Action]:
-        return 3 * super()._go_on(request)[:1]
+class SendsCopies(RandomDecider):
+    def _next_attempt(self, request: str) -> list[api.Action]:
+        return 3 * super()._next_attempt(request)[:1]
 
 
-class Again(Plain):
-    """Sends once more what it has just served."""
+class ResendsServed(RandomDecider):
+    """Sends each request again after it was served."""
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         told = list(events)
@@ -82,67 +82,67 @@
             api.Send(e.request, e.worker) for e in told if isinstance(e, api.AttemptEnded) and e.final]
 
 
-class Stranger(Plain):
+class SendsToUnknown(RandomDecider):
     def pick(self) -> str:
         return "nobody"
 
 
-class Pushes(Plain):
-    """Sends all it has to the server that started last."""
+class OverloadsNewest(RandomDecider):
+    """Sends every request to the worker that started last."""
 
     def pick(self) -> str:
-        return max(self.serving.values(), key=lambda entry: entry.launched_us).worker
+        return max(self.in_service.values(), key=lambda entry: entry.launched_us).worker
 
 
 class Checkers(unittest.TestCase):
-    def play(self, day: str, decider: type[Plain], **changes: object) -> World:
-        def made(settings: api.Settings, seed: int, _: World) -> Plain:
+    def play(self, day: str, decider: type[RandomDecider], **changes: object) -> World:
+        def make_decider(settings: api.Settings, seed: int, _: World) -> RandomDecider:
             return decider(settings, seed)
 
-        with mock.patch.dict(fleet.DECIDERS, other=made):
+        with mock.patch.dict(fleet.DECIDERS, other=make_decider):
             return fleet.play(day, "other", seed=3, **{**SMALL, **changes})  # type: ignore[arg-type]
 
-    def seen(self, world: World, words: str) -> None:
-        self.assertTrue(any(words in line for line in world.broken), world.broken[:3])
+    def assert_violation(self, world: World, text: str) -> None:
+        self.assertTrue(any(text in line for line in world.violations), world.violations[:3])
 
     def test_plain_breaks_nothing(self) -> None:
-        self.assertEqual(self.play("calm", Plain).broken, [])
+        self.assertEqual(self.play("calm", RandomDecider).violations, [])
 
     def test_two_answers(self) -> None:
-        self.seen(self.play("calm", Twice, load=2.0), "answered twice")
+        self.assert_violation(self.play("calm", AnswersTwice, load=2.0), "answered twice")
 
     def test_no_answer(self) -> None:
-        self.seen(self.play("calm", Never), "lost")
+        self.assert_violation(self.play("calm", NeverAnswers), "lost")
 
     def test_a_draining_server_is_sent_to(self) -> None:
-        world = self.play("join", Deaf, seconds=12)
-        self.seen(world, "told to drain")
+        world = self.play("join", IgnoresUpdates, seconds=12)
+        self.assert_violation(world, "told to drain")
         self.assertGreater(world.latest_drain_us, 1_000_000)
 
     def test_copies_beyond_what_the_settings_permit(self) -> None:
-        self.seen(self.play("calm", Copies), "attempts at once")
+        self.assert_violation(self.play("calm", SendsCopies), "attempts at once")
 
     def test_a_send_after_the_answer(self) -> None:
-        self.seen(self.play("calm", Again), "sent after its answer")
+        self.assert_violation(self.play("calm", ResendsServed), "sent after its answer")
 
     def test_a_send_to_a_name_that_nobody_listed(self) -> None:
-        self.seen(self.play("calm", Stranger), "never listed")
+        self.assert_violation(self.play("calm", SendsToUnknown), "never listed")
 
     def test_what_may_have_run_is_repeated_too_late_or_at_all_or_called_harmless(self) -> None:
-        """A zone's loss resets what runs there; the plain decider sends on, and then denies."""
+        """A zone's loss resets the attempts running there; the random decider retries them, then refuses."""
         for effect, words in ((api.Idempotency.KEYED, ("after its window",)),
                               (api.Idempotency.UNSAFE, ("though it may have run", "denied after"))):
-            conf = fleet.shipped()
+            conf = fleet.example_settings()
             classes = tuple(replace(c, idempotency=effect, window_us=20_000) for c in conf.classes)
-            world = self.play("zone", Plain, load=1.5, settings=replace(conf, classes=classes))
+            world = self.play("zone", RandomDecider, load=1.5, settings=replace(conf, classes=classes))
             for word in words:
-                self.seen(world, word)
+                self.assert_violation(world, word)
 
     def test_a_cold_server_that_is_pushed_falls_over(self) -> None:
-        world = self.play("join", Pushes, seconds=12)
-        self.assertGreater(sum(s.falls for s in world.servers.values()), 0)
+        world = self.play("join", OverloadsNewest, seconds=12)
+        self.assertGreater(sum(s.crash_count for s in world.workers.values()), 0)
         self.assertGreater(world.figures()["cold peak"], 1)
-        self.seen(world, "pushed over")
+        self.assert_violation(world, "overloaded while cold")
 
 
 if __name__ == "__main__":
