--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -8,30 +8,41 @@
 
 from benchmarks.capacity import page
 from benchmarks.capacity.points import POINTS as SERVICE_POINTS
-from benchmarks.capacity.results import Faulty, Point, TooLarge, measure, place, read, write
+from benchmarks.capacity.results import (
+    InvalidResult,
+    Point,
+    PointTooLarge,
+    measure_point,
+    read_result,
+    result_path,
+    write_result,
+)
 from benchmarks.capacity.system import page as system_page
 from benchmarks.capacity.system.points import POINTS as SYSTEM_POINTS
 
 POINTS: list[Point] = [*SYSTEM_POINTS, *SERVICE_POINTS]
 
 
-def wanted(names: tuple[str, ...], again: bool) -> list[Point]:
-    """The points to run: those of the tests named, or all, that have no usable result."""
-    left = []
+def points_to_run(names: tuple[str, ...], again: bool) -> list[Point]:
+    """Returns the points to run: those named by test or point, or all, without a usable result.
+
+    With `again` those that have a result are included.
+    """
+    points = []
     for point in POINTS:
         if names and point.test not in names and point.name not in names:
             continue
         try:
-            read(place(point.name))
+            read_result(result_path(point.name))
         except FileNotFoundError:
-            left.append(point)
-        except Faulty as fault:
+            points.append(point)
+        except InvalidResult as fault:
             click.echo(f"run again: {fault}", err=True)
-            left.append(point)
+            points.append(point)
         else:
             if again:
-                left.append(point)
-    return left
+                points.append(point)
+    return points
 
 
 @click.group()
@@ -44,16 +55,16 @@
 @click.option("--again", is_flag=True, help="Also those that have a result.")
 def run(names: tuple[str, ...], again: bool) -> None:
     """Run the tests NAMES (all, if none is named), point by point; each result is kept as it comes."""
-    points = wanted(names, again)
+    points = points_to_run(names, again)
     for point in points:
         try:
             point.check()
-        except TooLarge as error:
+        except PointTooLarge as error:
             raise click.ClickException(str(error)) from error
     with click.progressbar(points, item_show_func=lambda point: point.name if point else "") as bar:
         for point in bar:
             try:
-                write(measure(point))
+                write_result(measure_point(point))
             except TimeoutError as error:
                 click.echo(f"not measured: {point.name}: {error}", err=True)
 
@@ -63,8 +74,9 @@
     """The points, and which of them have a result."""
     for point in POINTS:
         state = "-"
-        with contextlib.suppress(FileNotFoundError, Faulty):
-            state = "".join(f"{k}={v[0]:g} " for k, v in list(read(place(point.name)).figures.items())[:4])
+        with contextlib.suppress(FileNotFoundError, InvalidResult):
+            state = "".join(
+                f"{k}={v[0]:g} " for k, v in list(read_result(result_path(point.name)).figures.items())[:4])
         click.echo(f"{point.name:42} {state}")
 
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -1,6 +1,7 @@
-"""Hollow parts round a real node, in one process: hundreds of listening servers, a discovery, clients.
+"""Stub peers of a real node in one process: hundreds of listening workers, discovery and clients.
 
-They speak the published protocol and keep nothing; each counts the bytes that pass. All on loopback.
+They implement the published protocol without keeping state, and count the bytes transferred. All sockets
+are on loopback.
 """
 
 from __future__ import annotations
@@ -24,27 +25,29 @@
 from benchmarks.capacity.module import SETTINGS, ZONES
 from benchmarks.capacity.results import ROOT
 
-RUN = 0.2  # seconds that a job runs, on average
-LONG = 60.0
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+MEAN_RUN_S = 0.2  # mean run time of a request
+TIMEOUT_S = 60.0
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(value: object) -> bytes:
+    """Encodes a JSON line, empty for None, as an HTTP chunk."""
     data = (b"" if value is None else json.dumps(value, separators=(",", ":")).encode()) + b"\n"
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Link:
-    """One connection of the hollow side."""
+class StubConnection:
+    """The stub's side of one connection with the node."""
 
-    def __init__(self, field: Field, sock: socket.socket, kind: str) -> None:
-        self.field, self.sock, self.kind, self.got = field, sock, kind, b""
-        self.owner: Any = None
+    def __init__(self, peers: StubPeers, sock: socket.socket, kind: str) -> None:
+        self.peers, self.sock, self.kind, self.received = peers, sock, kind, b""
+        self.sent_at: Any = None
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        field.selector.register(sock, selectors.EVENT_READ, self.ready)
+        peers.selector.register(sock, selectors.EVENT_READ, self.on_readable)
 
-    def ready(self) -> None:
+    def on_readable(self) -> None:
+        """Reads from the socket and passes the data on; closes the connection at its end."""
         try:
             data = self.sock.recv(262144)
         except BlockingIOError:
@@ -54,40 +57,42 @@
         if not data:
             self.close()
             return
-        self.field.bytes[self.kind + " from node"] += len(data)
-        self.got += data
-        self.field.read(self)
+        self.peers.bytes[self.kind + " from node"] += len(data)
+        self.received += data
+        self.peers.handle_data(self)
 
-    def say(self, data: bytes) -> None:
-        self.field.bytes[self.kind + " to node"] += len(data)
+    def send(self, data: bytes) -> None:
+        """Sends data, blocking until all of it is written."""
+        self.peers.bytes[self.kind + " to node"] += len(data)
         self.sock.setblocking(True)
         with contextlib.suppress(OSError):
             self.sock.sendall(data)
         self.sock.setblocking(False)
 
     def close(self) -> None:
+        """Closes the connection and removes its watch, if any."""
         if self.sock.fileno() >= 0:
-            self.field.selector.unregister(self.sock)
+            self.peers.selector.unregister(self.sock)
             self.sock.close()
-        self.field.watches.discard(self)
+        self.peers.watches.discard(self)
 
 
-class Field:
-    """The hollow parts, and the node as a process among them."""
+class StubPeers:
+    """All stub peers with their event loop, and the node as a process."""
 
     def __init__(self, servers: int, seed: int, port: int | None = None) -> None:
-        self.selector, self.dice = selectors.DefaultSelector(), Random(seed)
+        self.selector, self.rng = selectors.DefaultSelector(), Random(seed)
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = 0
         self.bytes: dict[str, int] = {f"{kind} {way} node": 0 for kind in ("server", "discovery", "client")
                                       for way in ("from", "to")}
-        self.watches: set[Link] = set()
-        self.free: list[Link] = []
-        self.refusing = False  # discovery is down: who calls is reset
-        self.pending: list[dict[str, Any]] = []  # what has changed since the last version that anybody has
+        self.watches: set[StubConnection] = set()
+        self.idle_connections: list[StubConnection] = []
+        self.is_refusing = False  # discovery is down: its calls are reset
+        self.pending: list[dict[str, Any]] = []  # changes since the last published revision
         self.revision, self.answered, self.failed, self.late = 1, 0, 0, 0
         self.listeners: list[socket.socket] = []
-        self.rows = [self._row(n, self._listen("server")) for n in range(servers)]
+        self.rows = [self.make_row(n, self._listen("server")) for n in range(servers)]
         self.discovery = self._listen("discovery")
         self.process: subprocess.Popen[bytes] | None = None
 
@@ -100,39 +105,40 @@
 
         def accept() -> None:
             with contextlib.suppress(BlockingIOError):
-                Link(self, sock.accept()[0], kind)
+                StubConnection(self, sock.accept()[0], kind)
 
         self.selector.register(sock, selectors.EVENT_READ, accept)
         port: int = sock.getsockname()[1]
         return port
 
-    def _row(self, number: int, port: int) -> dict[str, Any]:
-        return {"uid": f"s-{self.dice.getrandbits(32):08x}", "endpoint": f"127.0.0.1:{port}",
+    def make_row(self, number: int, port: int) -> dict[str, Any]:
+        return {"uid": f"s-{self.rng.getrandbits(32):08x}", "endpoint": f"127.0.0.1:{port}",
                 "az": f"z{number % ZONES}", "model": f"m{number // ZONES % 2}", "pod_group": number % 7,
                 "state": "SERVING", "capacity_hint": 1.0, "boot_ms": 0}
 
-    # --- what the node says --------------------------------------------------------------------------
+    # --- data from the node --------------------------------------------------------------------------
 
-    def read(self, link: Link) -> None:
-        if link.kind == "client":
-            self._answer(link)
+    def handle_data(self, connection: StubConnection) -> None:
+        """Handles the requests received on a connection."""
+        if connection.kind == "client":
+            self._answer(connection)
             return
-        while b"\r\n\r\n" in link.got:
-            head, _, rest = link.got.partition(b"\r\n\r\n")
+        while b"\r\n\r\n" in connection.received:
+            head, _, rest = connection.received.partition(b"\r\n\r\n")
             lines = head.decode("latin-1").split("\r\n")
             headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines[1:])}
             length = int(headers.get("content-length", "0"))
             if len(rest) < length:
                 return
-            link.got = rest[length:]
-            if link.kind == "discovery":
-                self._watch(link, lines[0])
+            connection.received = rest[length:]
+            if connection.kind == "discovery":
+                self._watch(connection, lines[0])
             else:
-                self._work(link, lines[0], headers)
+                self._serve(connection, lines[0], headers)
 
-    def _watch(self, link: Link, line: str) -> None:
-        if self.refusing:
-            link.close()
+    def _watch(self, connection: StubConnection, line: str) -> None:
+        if self.is_refusing:
+            connection.close()
             return
         if self.pending:
             first: dict[str, Any] = {"rev": self.revision, "all": False, "targets": self.pending}
@@ -140,94 +146,97 @@
             first = {"rev": self.revision, "all": False, "targets": []}
         else:
             first = {"rev": self.revision, "all": True, "targets": self.rows}
-        link.say(HEAD + chunk(first))
-        self.watches.add(link)
+        connection.send(CHUNKED_HEAD + chunk(first))
+        self.watches.add(connection)
 
-        def alive() -> None:
-            if link in self.watches:
-                link.say(chunk(None))
-                self.later(2.0, alive)
+        def send_keep_alive() -> None:
+            if connection in self.watches:
+                connection.send(chunk(None))
+                self.schedule(2.0, send_keep_alive)
 
-        self.later(2.0, alive)
+        self.schedule(2.0, send_keep_alive)
 
-    def _work(self, link: Link, line: str, headers: dict[str, str]) -> None:
+    def _serve(self, connection: StubConnection, line: str, headers: dict[str, str]) -> None:
         load = {"rif": 3, "x0": 2}
         if line.startswith("GET"):
             body = json.dumps(load).encode()
-            link.say(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+            connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
             return
-        job = headers["x-trace-id"]
-        link.say(HEAD + chunk({"id": job, "state": "started"}))
+        request_id = headers["x-trace-id"]
+        connection.send(CHUNKED_HEAD + chunk({"id": request_id, "state": "started"}))
 
-        def done() -> None:
-            if link.sock.fileno() >= 0:
-                link.say(chunk({"id": job, "state": "done", "result": "r" * 200, "load": load}))
-                link.say(b"0\r\n\r\n")
+        def finish() -> None:
+            if connection.sock.fileno() >= 0:
+                connection.send(chunk({"id": request_id, "state": "done", "result": "r" * 200, "load": load}))
+                connection.send(b"0\r\n\r\n")
 
-        self.later(self.dice.expovariate(1 / RUN), done)
+        self.schedule(self.rng.expovariate(1 / MEAN_RUN_S), finish)
 
-    def tell(self, rows: list[dict[str, Any]], whole: bool = False) -> None:
-        """A change of the list, or all of it, to all watches."""
+    def publish(self, rows: list[dict[str, Any]], whole: bool = False) -> None:
+        """Sends changes of the list, or the whole list, to all watches."""
         self.revision += 1
-        for link in list(self.watches):
-            link.say(chunk({"rev": self.revision, "all": whole, "targets": rows}))
+        for connection in list(self.watches):
+            connection.send(chunk({"rev": self.revision, "all": whole, "targets": rows}))
 
     # --- clients -------------------------------------------------------------------------------------
 
-    def hand_in(self, port: int, number: int) -> None:
-        """A client's job, on a connection that is free."""
-        if self.free:
-            link = self.free.pop()
+    def send_request(self, port: int, number: int) -> None:
+        """Sends a client's request on an idle connection, or on a new one."""
+        if self.idle_connections:
+            connection = self.idle_connections.pop()
         else:
-            link = Link(self, socket.create_connection(("127.0.0.1", port), timeout=LONG), "client")
-        name, key = ("full-search", "symbol-lookup")[number % 2], int(self.dice.paretovariate(0.9)) % 400
-        link.owner = time.monotonic()
-        link.say(b"POST /%s?key=k%d HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t%d\r\nX-Qos: %s\r\n"
+            connection = StubConnection(
+                self, socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S), "client")
+        name, key = ("full-search", "symbol-lookup")[number % 2], int(self.rng.paretovariate(0.9)) % 400
+        connection.sent_at = time.monotonic()
+        connection.send(b"POST /%s?key=k%d HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t%d\r\nX-Qos: %s\r\n"
                  b"X-Expires-In: 5000m\r\nContent-Length: 200\r\n\r\n%s" % (
                      name.encode(), key, number, name.encode(), b"q" * 200))
 
-    def _answer(self, link: Link) -> None:
-        head, found, rest = link.got.partition(b"\r\n\r\n")
+    def _answer(self, connection: StubConnection) -> None:
+        head, found, rest = connection.received.partition(b"\r\n\r\n")
         if not found:
             return
         length = int(next((line.split(b":")[1] for line in head.split(b"\r\n")
                            if line.lower().startswith(b"content-length")), b"0"))
         if len(rest) < length:
             return
-        link.got = b""
+        connection.received = b""
         self.answered += 1
         self.failed += not head.startswith(b"HTTP/1.1 200")
-        self.late += time.monotonic() - link.owner > 5.0
-        self.free.append(link)
+        self.late += time.monotonic() - connection.sent_at > 5.0
+        self.idle_connections.append(connection)
 
     # --- time ----------------------------------------------------------------------------------------
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
+    def schedule(self, delay_s: float, function: Callable[[], None]) -> None:
+        """Calls a function after a delay."""
         self.sequence += 1
-        heapq.heappush(self.timers, (time.monotonic() + delay, self.sequence, call))
+        heapq.heappush(self.timers, (time.monotonic() + delay_s, self.sequence, function))
 
-    def turn(self, most: float) -> None:
+    def poll(self, max_wait_s: float) -> None:
+        """Runs the timers that are due, then waits up to `max_wait_s` for sockets and handles them."""
         now = time.monotonic()
         while self.timers and self.timers[0][0] <= now:
             heapq.heappop(self.timers)[2]()
-        wait = min(most, max(0.0, self.timers[0][0] - now)) if self.timers else most
+        wait = min(max_wait_s, max(0.0, self.timers[0][0] - now)) if self.timers else max_wait_s
         for key, _ in self.selector.select(wait):
             key.data()
 
     def run(self, seconds: float, until: Callable[[], bool] = lambda: False) -> bool:
-        """Let time pass; whether `until` came true."""
+        """Runs the event loop for `seconds`, or until `until()` is true; returns whether it became true."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if until():
                 return True
-            self.turn(min(0.05, max(0.0, end - time.monotonic())))
+            self.poll(min(0.05, max(0.0, end - time.monotonic())))
         return until()
 
     # --- the node ------------------------------------------------------------------------------------
 
     @contextlib.contextmanager
     def node(self, **changes: Any) -> Iterator[Node]:
-        """The program as a process, with all these servers in `known`; it ends with the block."""
+        """Runs the node as a process with all stub workers in `known`; kills it at the end of the block."""
         with tempfile.TemporaryDirectory() as folder:
             node = Node(Path(folder), self, changes)
             try:
@@ -242,16 +251,16 @@
 
 
 class Node:
-    """The real node. Its figures come from the system."""
+    """The real node as a process; its figures come from the operating system."""
 
-    def __init__(self, folder: Path, field: Field, changes: dict[str, Any]) -> None:
-        self.field, self.port, self.admin = field, free_port(), free_port()
+    def __init__(self, folder: Path, peers: StubPeers, changes: dict[str, Any]) -> None:
+        self.peers, self.port, self.admin = peers, free_port(), free_port()
         config = json.loads(SETTINGS.read_text())
         settings = {**config["settings"], "fleetSize": 200, "locality": "z0", **changes.pop("settings", {})}
         edge = changes.pop("edge", None)
         self.config = {**config, "listen": f"127.0.0.1:{self.port}", "admin": f"127.0.0.1:{self.admin}",
-                       "discovery": f"127.0.0.1:{field.discovery}", "settings": settings,
-                       "known": {"rev": field.revision, "all": True, "targets": field.rows}, **changes}
+                       "discovery": f"127.0.0.1:{peers.discovery}", "settings": settings,
+                       "known": {"rev": peers.revision, "all": True, "targets": peers.rows}, **changes}
         self.file = folder / "config.json"
         self.file.write_text(json.dumps(self.config))
         command = [sys.executable, "-m", "arrowfold"]
@@ -259,73 +268,78 @@
             self.edge_file = folder / "edge.kdl"
             self.edge_file.write_text(edge)
             command += ["run", str(self.edge_file)]
-        self.begun = time.monotonic()
+        self.started_s = time.monotonic()
         self.process = subprocess.Popen(
             command, cwd=ROOT, stderr=subprocess.DEVNULL,
             env={**os.environ, "EDGE_CONFIG": str(self.file), "TMPDIR": str(folder)})
 
-    def page(self, path: str) -> tuple[int, bytes] | None:
-        """A page of the node's; the hollow parts go on meanwhile."""
+    def fetch(self, path: str) -> tuple[int, bytes] | None:
+        """Gets a path from the node while the stub peers keep running.
+
+        Returns the status and the body; None if the node does not answer.
+        """
         try:
-            sock = socket.create_connection(("127.0.0.1", self.port), timeout=LONG)
+            sock = socket.create_connection(("127.0.0.1", self.port), timeout=TIMEOUT_S)
         except OSError:
             return None
         sock.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".encode())
         sock.setblocking(False)
-        got, end = b"", time.monotonic() + LONG
+        received, end = b"", time.monotonic() + TIMEOUT_S
         with sock:
             while time.monotonic() < end:
                 try:
                     data = sock.recv(65536)
-                    got += data
+                    received += data
                     if not data:
                         break
                 except BlockingIOError:
-                    self.field.turn(0.002)
+                    self.peers.poll(0.002)
                 except OSError:
                     break
-        head, _, body = got.partition(b"\r\n\r\n")
+        head, _, body = received.partition(b"\r\n\r\n")
         return (int(head.split()[1]), body) if head else None
 
     def counters(self) -> dict[str, int]:
-        found = self.page("/counters")
-        counted: dict[str, int] = json.loads(found[1]) if found else {}
-        return counted
+        """Returns the node's counters, empty if it does not answer."""
+        found = self.fetch("/counters")
+        counters: dict[str, int] = json.loads(found[1]) if found else {}
+        return counters
 
     def ready(self) -> float:
-        """Seconds from exec to the first yes of readiness."""
-        while time.monotonic() - self.begun < LONG:
-            found = self.page("/health/ready")
+        """Waits until the node is ready; returns the seconds since its start."""
+        while time.monotonic() - self.started_s < TIMEOUT_S:
+            found = self.fetch("/health/ready")
             if found is not None and found[0] == 200:
-                return time.monotonic() - self.begun
-            self.field.run(0.005)
-        raise TimeoutError("the node never got ready")
-
-    def ask(self, line: str) -> float:
-        """Seconds until the second address has answered."""
-        begun = time.monotonic()
-        sock = socket.create_connection(("127.0.0.1", self.admin), timeout=LONG)
+                return time.monotonic() - self.started_s
+            self.peers.run(0.005)
+        raise TimeoutError("the node did not become ready")
+
+    def admin_response_s(self, line: str) -> float:
+        """Sends a command to the admin address; returns the seconds until the answer."""
+        started_s = time.monotonic()
+        sock = socket.create_connection(("127.0.0.1", self.admin), timeout=TIMEOUT_S)
         with sock:
             sock.sendall(line.encode() + b"\n")
             sock.setblocking(False)
-            while time.monotonic() - begun < LONG:
+            while time.monotonic() - started_s < TIMEOUT_S:
                 try:
                     sock.recv(4096)
                     break
                 except BlockingIOError:
-                    self.field.turn(0.0005)
-        return time.monotonic() - begun
+                    self.peers.poll(0.0005)
+        return time.monotonic() - started_s
 
-    def cpu(self) -> float:
-        """Processor seconds so far."""
+    def cpu_seconds(self) -> float:
+        """Returns the processor seconds used so far."""
         row = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(row[11]) + int(row[12])) / os.sysconf("SC_CLK_TCK")
 
-    def memory(self) -> float:
-        """Resident megabytes."""
+    def memory_mb(self) -> float:
+        """Returns the resident memory in megabytes."""
         row = next(line for line in Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
                    if line.startswith("VmRSS"))
         return int(row.split()[1]) * 1024 / 1e6
 
-    def descriptors(self) -> int:
+    def descriptor_count(self) -> int:
+        """Returns the number of open file descriptors."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from benchmarks.capacity.fitting import FitSpec, Results, fit_all, read_fits, write_fits
-from benchmarks.capacity.results import FOLDER, ROOT, Result, load
+from benchmarks.capacity.results import FOLDER, ROOT, Result, load_results
 
 PAGE = ROOT / "docs" / "CAPACITY-service.md"
 FITS = FOLDER / "fits.json"
@@ -269,7 +269,7 @@
 
 def filled(text: str, folder: Path = FOLDER, tables: Tables | None = None) -> str:
     """A page with its tables made anew; this one's tables, if none are given."""
-    results, makers = Results(load(folder)), TABLES if tables is None else tables
+    results, makers = Results(load_results(folder)), TABLES if tables is None else tables
     return MARKED.sub(lambda found: found[1] + makers[found[2]](results) + found[3], text)
 
 
@@ -291,4 +291,4 @@
 
 def fit(folder: Path = FOLDER) -> None:
     """Lines through the results, by least squares; written beside them."""
-    write_fits(fit_all(SPECS, Results(load(folder))), FITS)
+    write_fits(fit_all(SPECS, Results(load_results(folder))), FITS)
--- a/benchmarks/capacity/peak.py
+++ b/benchmarks/capacity/peak.py
@@ -16,7 +16,7 @@
 from arrowfold import interface as api
 from arrowfold.choice import Dispatcher
 from arrowfold.membership.part import Part
-from benchmarks.capacity.module import ZONES, shipped
+from benchmarks.capacity.module import ZONES, example_settings
 from benchmarks.capacity.results import Figures
 from benchmarks.fleet.servers import MS, SECOND, Attempt
 from benchmarks.fleet.world import ClientRequest, Node, World
@@ -30,7 +30,7 @@
 
 def peak_settings() -> api.Settings:
     """Returns the example settings with two classes, of which the urgent one has the higher value."""
-    return shipped(classes=(
+    return example_settings(classes=(
         api.RequestClass("urgent", 1600 * MS, 60 * SECOND, stretch=1.5, worth=10.0, late_share=0.3),
         api.RequestClass("ordinary", 4 * SECOND, 150 * SECOND, stretch=1.5, worth=1.0, late_share=0.3)))
 
--- a/benchmarks/capacity/quotas.py
+++ b/benchmarks/capacity/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of 690 teams in 69 organisations: memory, what a look and a refusal cost, how far nodes go over."""
+"""Quotas of up to 2,760 teams: memory, cost of an admission and a refusal, overshoot on several nodes."""
 
 from __future__ import annotations
 
@@ -14,77 +14,87 @@
 from benchmarks.capacity.results import Figures
 
 SECOND = 1_000_000
-TEAMS_OF_ONE = 10
-R, T = Resource.REQUESTS, Resource.WORKER_TIME
-PER_S, PER_H = 2, 600  # a team's requests in a second and in an hour
+TEAMS_PER_ORGANISATION = 10
+REQUESTS, WORKER_TIME = Resource.REQUESTS, Resource.WORKER_TIME
+REQUESTS_PER_S, REQUESTS_PER_HOUR = 2, 600  # a team's limits: requests a second and requests an hour
 
 
 def limit(resource: Resource, amount: int, seconds: float) -> Limit:
+    """Makes a limit on a window of so many seconds."""
     return Limit(resource, amount, timedelta(seconds=seconds))
 
 
-def tree(teams: int, per_s: int = PER_S) -> Tree:
-    """Organisations of ten teams, half of which borrow; requests by the second and the hour, worker time."""
-    team = (limit(R, per_s, 1), limit(R, PER_H, 3600), limit(T, PER_H * 20 * SECOND, 3600))
-    whole = (limit(R, per_s * TEAMS_OF_ONE, 1), limit(R, PER_H * TEAMS_OF_ONE, 3600))
-    return Tree(Level("", children={f"o{o}": Level(f"o{o}", whole, children={
-        f"t{t}": Level(f"t{t}", team, borrow=t % 2 == 0) for t in range(TEAMS_OF_ONE)})
-        for o in range(teams // TEAMS_OF_ONE)}))
+def tree(teams: int, per_s: int = REQUESTS_PER_S) -> Tree:
+    """Makes organisations of ten teams, half of which may borrow, with limits on requests and worker time."""
+    team = (
+        limit(REQUESTS, per_s, 1), limit(REQUESTS, REQUESTS_PER_HOUR, 3600),
+        limit(WORKER_TIME, REQUESTS_PER_HOUR * 20 * SECOND, 3600))
+    organisation = (
+        limit(REQUESTS, per_s * TEAMS_PER_ORGANISATION, 1),
+        limit(REQUESTS, REQUESTS_PER_HOUR * TEAMS_PER_ORGANISATION, 3600))
+    return Tree(Level("", children={f"o{o}": Level(f"o{o}", organisation, children={
+        f"t{t}": Level(f"t{t}", team, borrow=t % 2 == 0) for t in range(TEAMS_PER_ORGANISATION)})
+        for o in range(teams // TEAMS_PER_ORGANISATION)}))
 
 
-def costs(teams: int, seed: int) -> Figures:
-    """Microseconds of a look that lets in, and of one that refuses, with all siblings active; memory."""
+def measure_costs(teams: int, seed: int) -> Figures:
+    """Measures the microseconds of an admission and of a refusal, and memory, with all teams active."""
     gc.collect()
     tracemalloc.start()
-    ledger, chance = Ledger(tree(teams), 1), Random(seed)
-    paths = [(f"o{o}", f"t{t}") for o in range(teams // TEAMS_OF_ONE) for t in range(TEAMS_OF_ONE)]
+    ledger, rng = Ledger(tree(teams), 1), Random(seed)
+    paths = [(f"o{o}", f"t{t}") for o in range(teams // TEAMS_PER_ORGANISATION)
+             for t in range(TEAMS_PER_ORGANISATION)]
     now, tickets = 0, []
-    for path in paths:  # all are active
+    for path in paths:  # makes all teams active
         for _ in range(2):
             now += 1000
-            found = ledger.admit(path, "c", {R: 1, T: SECOND}, now)
+            found = ledger.admit(path, "c", {REQUESTS: 1, WORKER_TIME: SECOND}, now)
             if not isinstance(found, Refusal):
                 tickets.append(found)
-    held, _ = tracemalloc.get_traced_memory()
+    held_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     for ticket in tickets:
-        ledger.settle(ticket, {R: 1, T: SECOND}, now)
-    let, refused = [], []
+        ledger.settle(ticket, {REQUESTS: 1, WORKER_TIME: SECOND}, now)
+    admitted_s, refused_s = [], []
     for _ in range(4000):
         now += 1700
-        path = chance.choice(paths)
-        begun = time.process_time()
-        found = ledger.admit(path, "c", {R: 1, T: SECOND}, now)
-        spent = time.process_time() - begun
+        path = rng.choice(paths)
+        started_s = time.process_time()
+        found = ledger.admit(path, "c", {REQUESTS: 1, WORKER_TIME: SECOND}, now)
+        spent_s = time.process_time() - started_s
         if isinstance(found, Refusal):
-            refused.append(spent)
+            refused_s.append(spent_s)
         else:
-            let.append(spent)
-            ledger.settle(found, {R: 1, T: SECOND}, now)
-    while len(refused) < 500:  # one that asks far over its part
+            admitted_s.append(spent_s)
+            ledger.settle(found, {REQUESTS: 1, WORKER_TIME: SECOND}, now)
+    while len(refused_s) < 500:  # a team far over its limit
         now += 200
-        begun = time.process_time()
-        found = ledger.admit(paths[0], "c", {R: 1, T: SECOND}, now)
+        started_s = time.process_time()
+        found = ledger.admit(paths[0], "c", {REQUESTS: 1, WORKER_TIME: SECOND}, now)
         if isinstance(found, Refusal):
-            refused.append(time.process_time() - begun)
-    return {"admit_us": sum(let) / len(let) * 1e6, "refuse_us": sum(refused) / len(refused) * 1e6,
-            "megabytes": held / 1e6, "let_in": float(len(let))}
+            refused_s.append(time.process_time() - started_s)
+    return {"admit_us": sum(admitted_s) / len(admitted_s) * 1e6,
+            "refuse_us": sum(refused_s) / len(refused_s) * 1e6,
+            "megabytes": held_bytes / 1e6, "let_in": float(len(admitted_s))}
 
 
-def overshoot(nodes: int, seed: int) -> Figures:
-    """One team that asks ten times its part of all nodes: its fullest second, and all it got."""
+def measure_overshoot(nodes: int, seed: int) -> Figures:
+    """Measures how far one team with ten times its limit's load exceeds it on several nodes.
+
+    Returns the requests admitted in its fullest second and in all, as shares of the limits.
+    """
     per_s = 40
     ledgers = [Ledger(tree(10, per_s), nodes) for _ in range(nodes)]
-    chance, now, taken = Random(seed), 0, []
+    rng, now, admitted_us = Random(seed), 0, []
     while now < 60 * SECOND:
-        now += int(chance.expovariate(per_s * 10) * SECOND) + 1
-        found = chance.choice(ledgers).admit(("o0", "t1"), "c", {R: 1, T: 0}, now)
+        now += int(rng.expovariate(per_s * 10) * SECOND) + 1
+        found = rng.choice(ledgers).admit(("o0", "t1"), "c", {REQUESTS: 1, WORKER_TIME: 0}, now)
         if not isinstance(found, Refusal):
-            taken.append(now)
+            admitted_us.append(now)
     most = first = 0
-    for at, when in enumerate(taken):
-        while taken[first] <= when - SECOND:
+    for index, time_us in enumerate(admitted_us):
+        while admitted_us[first] <= time_us - SECOND:
             first += 1
-        most = max(most, at - first + 1)
-    # The hour's window is the tighter one in the long run: 600 an hour.
-    return {"most_of_limit": most / per_s, "given_of_limit": len(taken) / PER_H}
+        most = max(most, index - first + 1)
+    # Over the whole run the hourly limit of 600 is the tighter one.
+    return {"most_of_limit": most / per_s, "given_of_limit": len(admitted_us) / REQUESTS_PER_HOUR}
--- a/benchmarks/capacity/system/page.py
+++ b/benchmarks/capacity/system/page.py
@@ -7,7 +7,7 @@
 
 from benchmarks.capacity import page as tables_of_pages
 from benchmarks.capacity.fitting import Results, fit_all, write_fits
-from benchmarks.capacity.results import FOLDER, ROOT, load
+from benchmarks.capacity.results import FOLDER, ROOT, load_results
 from benchmarks.capacity.system import mechanisms, role_table, tables, verdict
 from benchmarks.capacity.system.fits import FITS, SPECS
 
@@ -44,4 +44,4 @@
 
 def fit(folder: Path = FOLDER) -> None:
     """Lines through the results, written beside them."""
-    write_fits(fit_all(SPECS, Results(load(folder))), FITS)
+    write_fits(fit_all(SPECS, Results(load_results(folder))), FITS)
--- a/benchmarks/capacity/watches.py
+++ b/benchmarks/capacity/watches.py
@@ -1,6 +1,6 @@
-"""Hollow nodes: many watches on one discovery, each the program's own `Discovery`, sharing a few processes.
+"""Many watches on one discovery, each with the real `Discovery` client, sharing a few processes.
 
-What a node does with a list beyond reading it is left out here; `module` and `node` have that.
+Only reading the list is covered; `module` and `node` measure the rest of a node's work with it.
 """
 
 from __future__ import annotations
@@ -19,20 +19,20 @@
 from arrowfold import interface as api
 from arrowfold.protocol.discovery import Discovery
 from arrowfold.transport.loop import Loop
-from benchmarks.capacity.hollow import Field
-from benchmarks.capacity.module import shipped
+from benchmarks.capacity.hollow import StubPeers
+from benchmarks.capacity.module import example_settings
 from benchmarks.capacity.results import ROOT, Figures
 
-AN_HOUR = 3600
+SECONDS_PER_HOUR = 3600
 PROCESSES = 4
 
 
-class Listed:
-    """Stands for the core: it notes when each server was last told to drain, or to have gone."""
+class StubCore:
+    """Stub of the node's core. Records when a worker was last reported as draining or removed."""
 
     def __init__(self, loop: Loop, seed: int) -> None:
-        self.settings, self.loop, self.chance = shipped(roster_on_request=True), loop, Random(seed)
-        self.listed, self.known, self.left = True, 0, 0.0
+        self.settings, self.loop, self.rng = example_settings(roster_on_request=True), loop, Random(seed)
+        self.listed, self.known, self.last_left_s = True, 0, 0.0
         self.discovery: Discovery
 
     def await_list(self) -> None:
@@ -48,34 +48,40 @@
         if mode is api.RosterMode.COMPLETE:
             self.known = len(entries)
         if any(entry.lifecycle is not api.Lifecycle.IN_SERVICE for entry in entries):
-            self.left = time.time()
+            self.last_left_s = time.time()
 
     def list_failed(self) -> None:
-        """The module calls again after a pause of at most two seconds."""
-        pause = timedelta(seconds=self.chance.uniform(0.67, 2.0))
-        self.loop.call_later(pause, lambda: self.discovery.ask(True))
+        """Retries after at most two seconds, as the dispatcher does."""
+        delay = timedelta(seconds=self.rng.uniform(0.67, 2.0))
+        self.loop.call_later(delay, lambda: self.discovery.ask(True))
 
 
-class Nothing:
+class StubWorker:
+    """Stub of a listed worker."""
+
     def close(self) -> None:
         pass
 
 
-def hollow(port: int, count: int, known: int, first: int) -> None:
-    """So many watches in this process; a line on standard input brings one of figures on standard output."""
+def run_process(port: int, count: int, known: int, first: int) -> None:
+    """Runs `count` watches in this process.
+
+    Each line on standard input is answered with a line of figures on standard output. The end of the
+    input ends the process.
+    """
     loop = Loop(lambda where, error: print(where, error, file=sys.stderr))
     counters: Counter[str] = Counter()
     cores = []
     for seed in range(first, first + count):
-        core = Listed(loop, seed)
+        core = StubCore(loop, seed)
         core.discovery = Discovery(
-            loop, ("127.0.0.1", port), core, lambda address: Nothing(),  # type: ignore[arg-type, return-value]
+            loop, ("127.0.0.1", port), core, lambda address: StubWorker(),  # type: ignore[arg-type, return-value]
             counters, lambda event, **fields: None, seed)
         core.discovery.revision = known or None
         core.discovery.begin()
         cores.append(core)
 
-    class Asked:
+    class FiguresRequest:
         def on_ready(self, mask: int) -> None:
             del mask
             if not sys.stdin.readline():
@@ -84,25 +90,27 @@
             print(json.dumps({
                 "cpu": time.process_time(), "known": min(core.known for core in cores),
                 "heard": sum(core.discovery.heard for core in cores),
-                "left": max(core.left for core in cores), "first_left": min(core.left for core in cores),
+                "left": max(core.last_left_s for core in cores),
+                "first_left": min(core.last_left_s for core in cores),
                 **counters}), flush=True)
 
-    loop.watch(sys.stdin.fileno(), Asked())
+    loop.watch(sys.stdin.fileno(), FiguresRequest())
     loop.run()
 
 
-class Herd:
-    """The processes of the hollow nodes."""
+class WatchProcesses:
+    """The processes that run the watches."""
 
-    def __init__(self, field: Field, watches: int, known: int) -> None:
-        self.field, each = field, watches // PROCESSES
-        self.count = each * PROCESSES
+    def __init__(self, peers: StubPeers, watches: int, known: int) -> None:
+        self.peers, per_process = peers, watches // PROCESSES
+        self.count = per_process * PROCESSES
         self.processes = [subprocess.Popen(
             [sys.executable, "-m", "benchmarks.capacity.watches",
-             *map(str, (field.discovery, each, known, n * each))],
+             *map(str, (peers.discovery, per_process, known, n * per_process))],
             cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE) for n in range(PROCESSES)]
 
-    def ask(self) -> list[dict[str, float]]:
+    def figures(self) -> list[dict[str, float]]:
+        """Returns the current figures of each process."""
         rows = []
         for process in self.processes:
             assert process.stdin is not None and process.stdout is not None
@@ -111,17 +119,18 @@
             rows.append(json.loads(process.stdout.readline()))
         return rows
 
-    def all(self, what: str, least: float, seconds: float) -> list[dict[str, float]]:
-        """Go on until each process's figure is that large."""
+    def wait_for(self, what: str, least: float, seconds: float) -> list[dict[str, float]]:
+        """Waits until a figure is at least `least` in each process; raises TimeoutError after `seconds`."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self.field.run(0.1)
-            rows = self.ask()
+            self.peers.run(0.1)
+            rows = self.figures()
             if all(row[what] >= least for row in rows):
                 return rows
         raise TimeoutError(f"{what}: not {least} within {seconds} s: {rows}")
 
     def end(self) -> None:
+        """Kills all processes."""
         for process in self.processes:
             process.kill()
             process.wait()
@@ -131,59 +140,60 @@
 
 
 @contextlib.contextmanager
-def herd(field: Field, watches: int, known: int) -> Iterator[Herd]:
-    some = Herd(field, watches, known)
+def run_watches(peers: StubPeers, watches: int, known: int) -> Iterator[WatchProcesses]:
+    """Runs so many watches in processes for the length of the block."""
+    processes = WatchProcesses(peers, watches, known)
     try:
-        yield some
+        yield processes
     finally:
-        some.end()
+        processes.end()
 
 
 def play(watches: int, servers: int, seed: int) -> Figures:
-    """All start at once, stay, lose a zone, and lose discovery; per watch, over all of them."""
-    field = Field(0, seed)
-    field.rows = [field._row(n, 9) for n in range(servers)]
+    """Measures a common start, idle watches, the loss of a zone and an outage of discovery, per watch."""
+    peers = StubPeers(0, seed)
+    peers.rows = [peers.make_row(n, 9) for n in range(servers)]
     figures: Figures = {}
 
-    def passed() -> float:
-        return float(field.bytes["discovery to node"] + field.bytes["discovery from node"])
-
-    begun = time.monotonic()
-    with herd(field, watches, 0) as some:
-        rows = some.all("heard", watches // PROCESSES, 60)
-        figures["start_s"] = time.monotonic() - begun
-        figures["start_cpu_ms"] = sum(row["cpu"] for row in rows) / some.count * 1e3
-        figures["start_kb"] = passed() / some.count / 1e3
-        rest, before = passed(), sum(row["cpu"] for row in rows)
-        field.run(6.0)
-        rows = some.ask()
-        figures["rest_bytes_a_second"] = (passed() - rest) / some.count / 6
-        figures["rest_cpu_share"] = (sum(row["cpu"] for row in rows) - before) / some.count / 6
-        zone = [{**row, "state": "DELETED"} for row in field.rows if row["az"] == "z1"]
-        rest, before, told = passed(), sum(row["cpu"] for row in rows), time.time()
-        field.tell(zone)
-        rows = some.all("first_left", told, 30)
-        figures["zone_delay_s"] = max(row["left"] for row in rows) - told
-        figures["zone_kb"] = (passed() - rest) / some.count / 1e3
-        figures["zone_cpu_ms"] = (sum(row["cpu"] for row in rows) - before) / some.count * 1e3
-        # Discovery goes down: watches end, calls are reset; it is back 8 s later, with a change.
-        field.refusing = True
-        for link in list(field.watches):
-            link.close()
-        field.run(8.0)
-        calls = sum(row["discovery_calls"] for row in some.ask())
+    def transferred() -> float:
+        return float(peers.bytes["discovery to node"] + peers.bytes["discovery from node"])
+
+    started_s = time.monotonic()
+    with run_watches(peers, watches, 0) as processes:
+        rows = processes.wait_for("heard", watches // PROCESSES, 60)
+        figures["start_s"] = time.monotonic() - started_s
+        figures["start_cpu_ms"] = sum(row["cpu"] for row in rows) / processes.count * 1e3
+        figures["start_kb"] = transferred() / processes.count / 1e3
+        bytes_before, cpu_before_s = transferred(), sum(row["cpu"] for row in rows)
+        peers.run(6.0)
+        rows = processes.figures()
+        figures["rest_bytes_a_second"] = (transferred() - bytes_before) / processes.count / 6
+        figures["rest_cpu_share"] = (sum(row["cpu"] for row in rows) - cpu_before_s) / processes.count / 6
+        zone = [{**row, "state": "DELETED"} for row in peers.rows if row["az"] == "z1"]
+        bytes_before, cpu_before_s, published_s = transferred(), sum(row["cpu"] for row in rows), time.time()
+        peers.publish(zone)
+        rows = processes.wait_for("first_left", published_s, 30)
+        figures["zone_delay_s"] = max(row["left"] for row in rows) - published_s
+        figures["zone_kb"] = (transferred() - bytes_before) / processes.count / 1e3
+        figures["zone_cpu_ms"] = (sum(row["cpu"] for row in rows) - cpu_before_s) / processes.count * 1e3
+        # Discovery fails: watches end and calls are reset. It returns after 8 s with a change of the list.
+        peers.is_refusing = True
+        for connection in list(peers.watches):
+            connection.close()
+        peers.run(8.0)
+        calls = sum(row["discovery_calls"] for row in processes.figures())
         calls -= sum(row["discovery_calls"] for row in rows)
-        figures["down_calls_a_second"] = calls / 8 / some.count
-        field.revision += 1
-        field.pending = [{**field.rows[0], "state": "DRAINING"}]
-        field.refusing, back = False, time.time()
-        rows = some.all("first_left", back, 30)
-        figures["back_delay_s"] = max(row["left"] for row in rows) - back
-    for sock in field.listeners:
+        figures["down_calls_a_second"] = calls / 8 / processes.count
+        peers.revision += 1
+        peers.pending = [{**peers.rows[0], "state": "DRAINING"}]
+        peers.is_refusing, restored_s = False, time.time()
+        rows = processes.wait_for("first_left", restored_s, 30)
+        figures["back_delay_s"] = max(row["left"] for row in rows) - restored_s
+    for sock in peers.listeners:
         sock.close()
-    field.selector.close()
+    peers.selector.close()
     return figures
 
 
 if __name__ == "__main__":
-    hollow(*map(int, sys.argv[1:]))
+    run_process(*map(int, sys.argv[1:]))
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -20,7 +20,7 @@
 from arrowfold.replication.state import ConfigurationStep, ControlState, apply_entry
 from benchmarks.capacity.fitting import FitSpec, FittedLine, Results, fit_one
 from benchmarks.capacity.page import MISSING
-from benchmarks.capacity.results import Result, place, read
+from benchmarks.capacity.results import Result, read_result, result_path
 from benchmarks.capacity.system import (
     documents,
     monitoring,
@@ -74,10 +74,10 @@
 
 
 def test_the_results_are_sound() -> None:
-    kept = [point for point in POINTS if place(point.name).exists()]
+    kept = [point for point in POINTS if result_path(point.name).exists()]
     assert len(kept) > len(POINTS) // 2
     for point in kept:
-        result = read(place(point.name))
+        result = read_result(result_path(point.name))
         assert (result.test, result.size) == (point.test, point.size)
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""How what a node does grows with its list, by counts of calls and never by the clock; the page."""
+"""Growth of a node's work with its list, by counts of calls instead of time; results; the page's tables."""
 
 from __future__ import annotations
 
@@ -21,12 +21,22 @@
 from arrowfold.transport.loop import Loop
 from benchmarks.capacity import __main__ as command
 from benchmarks.capacity import page
-from benchmarks.capacity.module import Node, roster, shipped
-from benchmarks.capacity.results import FOLDER, VERSION, Faulty, Point, TooLarge, measure, place, read, write
-
-
-def calls(what: Callable[[], Any]) -> int:
-    """How many calls, of functions of any kind, it takes."""
+from benchmarks.capacity.module import Node, example_settings, make_roster
+from benchmarks.capacity.results import (
+    FOLDER,
+    VERSION,
+    InvalidResult,
+    Point,
+    PointTooLarge,
+    measure_point,
+    read_result,
+    result_path,
+    write_result,
+)
+
+
+def calls(action: Callable[[], Any]) -> int:
+    """Returns the number of calls, of Python and built-in functions, that `action` makes."""
     count = 0
 
     def note(frame: object, event: str, arg: object) -> None:
@@ -35,31 +45,31 @@
 
     sys.setprofile(note)
     try:
-        what()
+        action()
     finally:
         sys.setprofile(None)
     return count
 
 
-class Grown(unittest.TestCase):
-    """A mechanism that is flat stays flat."""
+class Growth(unittest.TestCase):
+    """Costs that do not depend on the size of the list must stay constant."""
 
-    def counted(self, servers: int) -> dict[str, float]:
-        node, rows = Node(shipped()), roster(servers)
-        figures: dict[str, float] = {"first list": calls(lambda: node.list(rows, whole=True))}
-        node.run(12.0, 20.0)  # rates are known, and tokens granted
+    def call_counts(self, servers: int) -> dict[str, float]:
+        node, rows = Node(example_settings()), make_roster(servers)
+        figures: dict[str, float] = {"first list": calls(lambda: node.update_list(rows, whole=True))}
+        node.run(12.0, 20.0)  # arrival rates are known and market tokens are granted
         figures["ten seconds"] = calls(lambda: node.run(10.0, 20.0))
-        mine = next(row for row in rows if row.worker in node.module.workers and row.zone != "z1")
+        listed = next(row for row in rows if row.worker in node.dispatcher.workers and row.zone != "z1")
         figures["one change"] = calls(
-            lambda: node.list([replace(mine, lifecycle=api.Lifecycle.TERMINATING)]))
+            lambda: node.update_list([replace(listed, lifecycle=api.Lifecycle.TERMINATING)]))
         zone = [row for row in rows if row.zone == "z1"]
         figures["zone lost"] = calls(
-            lambda: node.list(replace(row, lifecycle=api.Lifecycle.TERMINATED) for row in zone))
-        figures["in view"] = len(node.module.workers)
+            lambda: node.update_list(replace(row, lifecycle=api.Lifecycle.TERMINATED) for row in zone))
+        figures["in view"] = len(node.dispatcher.workers)
         return figures
 
     def test_from_400_servers_to_5400_nothing_but_the_first_list_grows_by_half(self) -> None:
-        few, many = self.counted(400), self.counted(5400)
+        few, many = self.call_counts(400), self.call_counts(5400)
         for name in ("ten seconds", "one change"):
             self.assertLess(many[name], 1.5 * few[name], name)
         self.assertLess(many["zone lost"], 1.5 * few["zone lost"] + 12 * 284)  # each server's own entry
@@ -67,24 +77,27 @@
         self.assertLess(many["in view"], 600)
 
     def test_without_parts_it_would_grow(self) -> None:
-        """So the counts above can show it."""
-        few, many = Node(shipped(), parted=False), Node(shipped(), parted=False)
-        lists = [calls(lambda node=node, n=n: node.list(roster(n), whole=True))  # type: ignore[misc]
+        """Shows that the counts above reveal growth."""
+        few, many = (
+            Node(example_settings(), has_partial_list=False),
+            Node(example_settings(), has_partial_list=False))
+        lists = [calls(lambda node=node, n=n: node.update_list(make_roster(n), whole=True))  # type: ignore[misc]
                  for node, n in ((few, 400), (many, 2700))]
         self.assertGreater(lists[1], 4 * lists[0])
 
     def test_a_start_costs_each_server_on_the_list_the_same(self) -> None:
-        """Term 5, from the configuration as read to the first yes: 10, 400 and 2,700 servers in `known`."""
+        """From the parsed configuration until readiness, with 10, 400 and 2,700 workers in `known`."""
         def start(servers: int) -> float:
             loop = Loop(lambda where, error: None)
             self.addCleanup(loop.epoll.close)
-            core = Core(shipped(), 1, loop, Counter(), lambda follow: None, lambda event, **fields: None)
+            core = Core(
+                example_settings(), 1, loop, Counter(), lambda follow: None, lambda event, **fields: None)
             found = Discovery(loop, None, core, lambda address: mock.sentinel.server, Counter(),
                               lambda event, **fields: None)
             known = {"rev": 3, "all": True, "targets": [
                 {"uid": row.worker, "endpoint": f"127.0.0.1:{n + 1}", "az": row.zone, "model": row.kind,
                  "pod_group": 0, "state": "SERVING", "capacity_hint": 1.0, "boot_ms": 0}
-                for n, row in enumerate(roster(servers))]}
+                for n, row in enumerate(make_roster(servers))]}
 
             def begin() -> None:
                 found.take(known, api.RosterMode.PERSISTED)
@@ -97,15 +110,16 @@
 
         few, some, many = start(10), start(400), start(2700)
         self.assertLess(some, 1.5 * few)
-        self.assertLess(many, some)  # the ring holds a part alone
+        self.assertLess(many, some)  # the hash ring holds only the node's part
 
     def test_one_change_of_a_long_list_does_not_pass_over_the_server_table(self) -> None:
-        """The names of all servers were noted anew at each change, and those of a long list forgotten."""
+        """Guards against recording all names at each change, and against losing those of a long list."""
         def change(servers: int) -> int:
             loop = Loop(lambda where, error: None)
             self.addCleanup(loop.epoll.close)
-            core = Core(shipped(), 1, loop, Counter(), lambda follow: None, lambda event, **fields: None)
-            rows: Any = [(entry, object()) for entry in roster(servers)]
+            core = Core(
+                example_settings(), 1, loop, Counter(), lambda follow: None, lambda event, **fields: None)
+            rows: Any = [(entry, object()) for entry in make_roster(servers)]
             core.list_servers("list", rows, api.RosterMode.COMPLETE, shared=True)
             self.assertTrue(all(core.table.known(entry.worker) for entry, _ in rows))
             one = [(replace(rows[0][0], lifecycle=api.Lifecycle.TERMINATING), rows[0][1])]
@@ -114,12 +128,12 @@
         self.assertLess(change(5400), 1.5 * change(400))
 
 
-class BadLists(unittest.TestCase):
+class InvalidLists(unittest.TestCase):
     def test_twice_the_size_with_duplicates_unknown_zones_and_nonsense(self) -> None:
-        """What can't be read is left out and counted; the last word on a name holds; the part is bounded."""
+        """Unreadable entries are skipped and counted; the last entry of a name applies."""
         loop, counters = Loop(lambda where, error: None), Counter[str]()
         self.addCleanup(loop.epoll.close)
-        core = Core(shipped(), 1, loop, counters, lambda follow: None, lambda event, **fields: None)
+        core = Core(example_settings(), 1, loop, counters, lambda follow: None, lambda event, **fields: None)
         found = Discovery(loop, None, core, lambda address: mock.Mock(), counters,
                           lambda event, **fields: None)
         rows: list[Any] = [
@@ -135,15 +149,15 @@
         self.assertEqual(core.table.serving(), 5400 - 200 + 1)
         self.assertNotIn("module_faults", counters)
         serving = [w for w in core.module.workers.values() if w.serving]
-        self.assertLess(len(serving), 2000)  # at least some of each of 900 zones that nobody knows
+        self.assertLess(len(serving), 2000)  # some of each of 900 unknown zones are included
         self.assertFalse({w.name for w in serving} & {row["uid"] for row in again})
         found.take({"rev": 6, "all": True, "targets": rows[:3]})
         self.assertEqual(core.table.serving(), 3)
         self.assertEqual({w.name for w in core.module.workers.values() if w.serving}, {"s0", "s1", "s2"})
 
 
-class Kept(unittest.TestCase):
-    """Results, and what becomes of bad ones."""
+class ResultFiles(unittest.TestCase):
+    """Result files: written, read, rejected, measured again."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -152,49 +166,49 @@
         self.point = Point("some", {"size": 3}, lambda seed: {"figure": float(seed)}, (1, 2, 6))
 
     def test_a_result_is_read_as_it_was_written(self) -> None:
-        write(measure(self.point), self.folder)
-        found = read(place(self.point.name, self.folder))
+        write_result(measure_point(self.point), self.folder)
+        found = read_result(result_path(self.point.name, self.folder))
         self.assertEqual(found.figures, {"figure": [2.0, 1.0, 6.0]})
         self.assertEqual((found["figure"], found.size, found.seeds), (2.0, {"size": 3}, [1, 2, 6]))
         self.assertEqual([path.name for path in self.folder.iterdir()], [f"{self.point.name}.json"])
 
     def test_one_that_is_cut_off_or_of_another_version_is_named(self) -> None:
-        write(measure(self.point), self.folder)
-        path = place(self.point.name, self.folder)
+        write_result(measure_point(self.point), self.folder)
+        path = result_path(self.point.name, self.folder)
         whole = path.read_text()
         other = json.dumps({**json.loads(whole), "version": VERSION + 1})
         for text in (whole[:-20], "", "[]", "7", other, json.dumps({**json.loads(whole), "figures": {}}),
                      json.dumps({**json.loads(whole), "more": 1})):
             path.write_text(text)
-            with self.assertRaisesRegex(Faulty, path.name):
-                read(path)
+            with self.assertRaisesRegex(InvalidResult, path.name):
+                read_result(path)
 
     def test_only_what_has_no_sound_result_is_run(self) -> None:
         some = [replace(self.point, size={"size": n}) for n in (1, 2, 3)]
         for point in some[:2]:
-            write(measure(point), self.folder)
-        place(some[1].name, self.folder).write_text("{")
+            write_result(measure_point(point), self.folder)
+        result_path(some[1].name, self.folder).write_text("{")
         with mock.patch.object(command, "POINTS", some), \
-                mock.patch.object(command, "place", lambda name: place(name, self.folder)), \
-                mock.patch.object(command, "write", lambda result: write(result, self.folder)):
-            said = CliRunner().invoke(command.main, ["run", "some"])
-            self.assertEqual(said.exit_code, 0, said.output)
-            self.assertIn(f"run again: {some[1].name}", said.output)
-            self.assertEqual(command.wanted((), False), [])
-            self.assertEqual(command.wanted(("other",), True), [])
-            self.assertEqual(len(command.wanted((), True)), 3)
+                mock.patch.object(command, "result_path", lambda name: result_path(name, self.folder)), \
+                mock.patch.object(command, "write_result", lambda result: write_result(result, self.folder)):
+            outcome = CliRunner().invoke(command.main, ["run", "some"])
+            self.assertEqual(outcome.exit_code, 0, outcome.output)
+            self.assertIn(f"run again: {some[1].name}", outcome.output)
+            self.assertEqual(command.points_to_run((), False), [])
+            self.assertEqual(command.points_to_run(("other",), True), [])
+            self.assertEqual(len(command.points_to_run((), True)), 3)
 
     def test_a_point_that_asks_too_much_is_refused_before_it_starts(self) -> None:
         run: list[int] = []
         for more in ({"descriptors": 10**9}, {"megabytes": 10**9}, {"processes": 10**6}):
             point = replace(self.point, run=lambda seed: run.append(seed) or {}, **more)  # type: ignore[arg-type, func-returns-value]
-            with self.assertRaises(TooLarge):
+            with self.assertRaises(PointTooLarge):
                 point.check()
             with mock.patch.object(command, "POINTS", [point]), \
-                    mock.patch.object(command, "place", lambda name: place(name, self.folder)):
-                said = CliRunner().invoke(command.main, ["run"])
-            self.assertEqual(said.exit_code, 1)
-            self.assertIn("needs", said.output)
+                    mock.patch.object(command, "result_path", lambda name: result_path(name, self.folder)):
+                outcome = CliRunner().invoke(command.main, ["run"])
+            self.assertEqual(outcome.exit_code, 1)
+            self.assertIn("needs", outcome.output)
         self.assertEqual(run, [])
 
 
@@ -219,4 +233,4 @@
         self.assertNotIn("| holds |", text)
 
     def test_every_result_is_sound(self) -> None:
-        self.assertGreater(sum(bool(read(path)) for path in FOLDER.glob("*=*.json")), 30)
+        self.assertGreater(sum(bool(read_result(path)) for path in FOLDER.glob("*=*.json")), 30)
