--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -87,8 +87,8 @@
     if fit:
         page.fit()
         system_page.fit()
-    page.PAGE.write_text(page.filled(page.PAGE.read_text()))
-    system_page.PAGE.write_text(system_page.filled(system_page.PAGE.read_text()))
+    page.PAGE.write_text(page.fill_tables(page.PAGE.read_text()))
+    system_page.PAGE.write_text(system_page.fill_tables(system_page.PAGE.read_text()))
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/module.py
+++ b/benchmarks/capacity/module.py
@@ -72,7 +72,7 @@
         heapq.heappush(self.events, (when_us, self.sequence, event))
 
     def deliver_event(self, event: api.Event) -> float:
-        """Handles an event and returns the processor time spent_s, in seconds."""
+        """Handles an event and returns the processor time spent, in seconds."""
         started_s = time.process_time()
         if isinstance(event, api.RosterUpdate) and self.part is not None:
             event = self.part.take(event)
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,7 @@
-"""The tables of docs/CAPACITY-service.md, made of results, between `<!-- table: NAME -->` and an end."""
+"""Generates the tables of docs/CAPACITY-service.md from results.
+
+A table is placed between `<!-- table: NAME -->` and `<!-- end -->`.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +15,23 @@
 PAGE = ROOT / "docs" / "CAPACITY-service.md"
 FITS = FOLDER / "fits.json"
 MISSING = "not measured yet"
-MARKED = re.compile(r"(<!-- table: (\w+) -->\n).*?(<!-- end -->)", re.S)
+TABLE_PATTERN = re.compile(r"(<!-- table: (\w+) -->\n).*?(<!-- end -->)", re.S)
 Rows = list[list[str]]
 
-# What the operators' table asks.
+# The operators' targets: core share, resident MB, bytes a second, seconds; then the size of the fleet.
 CORE, MEMORY, BYTES, URGENT_S, IN_FORCE_S = 0.016, 128.0, 7000.0, 1.6, 3.0
 SERVERS, STARTS, CHANGES_A_DAY, TEAMS, ZONE = 2700, 590, 1800, 690, 142
 FLEETS = (200, 700, 2700)
 
 
 def table(head: list[str], rows: Rows) -> str:
+    """Formats a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines) + "\n"
 
 
 def number(value: float, digits: int = 3) -> str:
-    """So many significant digits, without an exponent."""
+    """Formats a number with so many significant digits and without an exponent."""
     if value == 0:
         return "0"
     text = f"{value:.{digits}g}"
@@ -35,56 +39,62 @@
 
 
 def spread(result: Result | None, figure: str, factor: float = 1.0, digits: int = 3) -> str:
-    """Median, and least to most in brackets where there were several runs."""
+    """Formats a figure: the median and, after several runs, the minimum and maximum in brackets."""
     if result is None or figure not in result.figures:
         return MISSING
-    middle, least, most = (value * factor for value in result.figures[figure])
+    median, lowest, highest = (value * factor for value in result.figures[figure])
     if len(result.seeds) == 1:
-        return number(middle, digits)
-    return f"{number(middle, digits)} ({number(least, digits)} to {number(most, digits)})"
+        return number(median, digits)
+    return f"{number(median, digits)} ({number(lowest, digits)} to {number(highest, digits)})"
 
 
-def _by(results: Results, test: str, key: str, figures: list[tuple[str, str, float]],
+def _table_by_size(results: Results, test: str, key: str, figures: list[tuple[str, str, float]],
         **size: float | str) -> str:
-    """A row for each value of a size."""
+    """Makes a table with a row for each value of the size `key`."""
     rows = sorted(results.of(test, **size), key=lambda row: float(row.size[key]))
     return table([key, *(head for head, _, _ in figures)], [
         [number(float(row.size[key]), 5), *(spread(row, name, factor) for _, name, factor in figures)]
         for row in rows])
 
 
-MODULE = [("core, %", "core_share", 100.0), ("longest event, ms", "longest_ms", 1.0),
-          ("first list, ms", "first_list_ms", 1.0), ("one change, ms", "one_change_ms", 1.0),
-          ("zone lost, ms", "zone_lost_ms", 1.0), ("zone back, ms", "zone_back_ms", 1.0),
-          ("1,000 at once, ms", "thousand_ms", 1.0), ("in view", "in_view", 1.0), ("tokens", "tokens", 1.0)]
+MODULE_COLUMNS = [
+    ("core, %", "core_share", 100.0), ("longest event, ms", "longest_ms", 1.0),
+    ("first list, ms", "first_list_ms", 1.0), ("one change, ms", "one_change_ms", 1.0),
+    ("zone lost, ms", "zone_lost_ms", 1.0), ("zone back, ms", "zone_back_ms", 1.0),
+    ("1,000 at once, ms", "thousand_ms", 1.0), ("in view", "in_view", 1.0), ("tokens", "tokens", 1.0)]
 
 
 def module(results: Results) -> str:
-    return _by(results, "module", "servers", MODULE, jobs=20)
+    """Costs of the dispatcher by the number of workers."""
+    return _table_by_size(results, "module", "servers", MODULE_COLUMNS, jobs=20)
 
 
 def rates(results: Results) -> str:
-    return _by(results, "module", "jobs", MODULE[:4] + [("probes a second", "probes_a_second", 1.0)],
-               servers=SERVERS)
+    """Costs of the dispatcher by the request rate."""
+    return _table_by_size(
+        results, "module", "jobs", MODULE_COLUMNS[:4] + [("probes a second", "probes_a_second", 1.0)],
+        servers=SERVERS)
 
 
 def steps(results: Results) -> str:
-    """The text before, the new structures with the whole list, and parts."""
+    """Costs before the new data structures, with them, and with partial lists."""
     rows: Rows = []
     for n in (100, 400, SERVERS):
         for label, test, size in (("before", "before", {}), ("structures, whole list", "whole", {}),
                                   ("and parts", "module", {"jobs": 20})):
             found = results.one(test, servers=n, **size)
             rows.append([number(n, 5), label,
-                         *(spread(found, name, factor) for _, name, factor in MODULE[:7])])
-    return table(["servers", "text", *(head for head, _, _ in MODULE[:7])], rows)
+                         *(spread(found, name, factor) for _, name, factor in MODULE_COLUMNS[:7])])
+    return table(["servers", "text", *(head for head, _, _ in MODULE_COLUMNS[:7])], rows)
 
 
 def memory(results: Results) -> str:
-    return _by(results, "memory", "servers", [("module and part, MB", "megabytes", 1.0)])
+    """Memory of the dispatcher by the number of workers."""
+    return _table_by_size(results, "memory", "servers", [("module and part, MB", "megabytes", 1.0)])
 
 
 def node(results: Results) -> str:
+    """Costs of a whole node by workers, request rate and list changes."""
     rows = sorted(results.of("node"),
                   key=lambda r: (str(r.size["changes"]), r.size["jobs"], r.size["servers"]))
     return table(
@@ -98,6 +108,7 @@
 
 
 def events(results: Results) -> str:
+    """Costs of single events at a whole node."""
     rows: Rows = []
     for label, name in (("nothing", "nothing"), ("one change", "one"), ("a zone lost", "zone_lost"),
                         ("the zone back", "zone_back"), ("1,000 changes", "thousand"),
@@ -109,7 +120,8 @@
 
 
 def watches(results: Results) -> str:
-    return _by(results, "watches", "watches", [
+    """Costs of many watches on one discovery."""
+    return _table_by_size(results, "watches", "watches", [
         ("all have the list, s", "start_s", 1.0), ("processor at the start, ms each", "start_cpu_ms", 1.0),
         ("KB each", "start_kb", 1.0), ("at rest, bytes a second", "rest_bytes_a_second", 1.0),
         ("at rest, core %", "rest_cpu_share", 100.0), ("zone lost, longest delay, s", "zone_delay_s", 1.0),
@@ -118,8 +130,9 @@
 
 
 def peak(results: Results) -> str:
+    """Waiting times at the fleet's peak, by day and size."""
     rows: Rows = []
-    order = {day: nth for nth, day in enumerate(("calm", "zone", "regions", "rolling"))}
+    order = {day: index for index, day in enumerate(("calm", "zone", "regions", "rolling"))}
     for r in sorted(results.of("peak"), key=lambda r: (-float(r.size["nodes"]), order[str(r.size["day"])],
                                                        r.size["servers"], str(r.size["list"]))):
         rows.append([str(r.size["day"]), str(r.size["nodes"]), number(float(r.size["servers"]), 5),
@@ -131,8 +144,8 @@
                   "ordinary p99, s", "over 1.6 s, %", "denied", "idle, %", "crossing, %"], rows)
 
 
-def looks(results: Results) -> str:
-    """The same fleet with lines looked at by the run time alone, and at least every tenth of a second."""
+def queue_checks(results: Results) -> str:
+    """Compares queues checked at intervals of the run time alone with queues checked at least every 0.1 s."""
     rows: Rows = []
     for kind in ("part", "whole"):
         for label, test in (("an eighth of a run apart", "slowlooks"), ("0.1 s at most", "peak")):
@@ -144,14 +157,16 @@
 
 
 def quotas(results: Results) -> str:
-    return _by(results, "quotas", "teams", [
+    """Costs of quota decisions by teams, and the overshoot by nodes."""
+    return _table_by_size(results, "quotas", "teams", [
         ("a look, us", "admit_us", 1.0), ("a refusal, us", "refuse_us", 1.0),
         ("memory, MB", "megabytes", 1.0)]) + "\n" + \
-        _by(results, "overshoot", "nodes", [("fullest second, of its limit", "most_of_limit", 1.0),
+        _table_by_size(results, "overshoot", "nodes", [("fullest second, of its limit", "most_of_limit", 1.0),
                                             ("an hour's requests, of its limit", "given_of_limit", 1.0)])
 
 
 def configuration(results: Results) -> str:
+    """Costs of a configuration reload."""
     rows = sorted(results.of("configuration"), key=lambda r: (r.size["servers"], r.size["teams"]))
     return table(["servers", "teams", "processor, ms", "in force at this node, s", "second address, ms",
                   "bytes", "answers late"],
@@ -161,6 +176,7 @@
 
 
 def fits(results: Results) -> str:
+    """The fitted lines, from their file."""
     del results
     return table(["figure", "over", "measured from", "to", "intercept", "slope", "its 95 % interval"],
                  [[line.figure, line.over, number(line.start, 5), number(line.end, 5),
@@ -168,20 +184,20 @@
                    f"{number(line.low)} to {number(line.high)}"] for line in read_fits(FITS)])
 
 
-def _of(result: Result | None, figure: str) -> float | None:
+def _figure(result: Result | None, figure: str) -> float | None:
     return None if result is None else result[figure]
 
 
-def _holds(value: float | None, most: float) -> str:
-    return MISSING if value is None else "holds" if value <= most else "**does not**"
+def _holds(value: float | None, maximum: float) -> str:
+    return MISSING if value is None else "holds" if value <= maximum else "**does not**"
 
 
 def verdict(results: Results) -> str:
-    """Each row of the operators' table, by the results that there are."""
+    """Compares each of the operators' targets with the available results."""
     at_rest = results.one("node", servers=SERVERS, jobs=0, changes="none")
     busy = results.one("node", servers=SERVERS, jobs=20, changes="none")
     rolling = results.one("node", servers=SERVERS, jobs=0, changes="rolling")
-    mine = results.one("module", servers=SERVERS, jobs=20)
+    dispatcher = results.one("module", servers=SERVERS, jobs=20)
     calm = results.one("peak", day="calm", nodes=200, servers=SERVERS)
     cut = results.one("peak", day="regions", nodes=200, servers=SERVERS)
     zone = results.one("peak", day="zone", nodes=200, servers=SERVERS)
@@ -189,61 +205,67 @@
     level = results.one("quotas", teams=TEAMS)
     over = results.one("overshoot", nodes=200)
 
-    def worst(figure: str, *some: Result | None) -> float | None:
-        known = [row[figure] for row in some if row is not None]
-        return max(known) if known else None
+    def worst(figure: str, *candidates: Result | None) -> float | None:
+        values = [row[figure] for row in candidates if row is not None]
+        return max(values) if values else None
 
-    def say(value: float | None, unit: str, factor: float = 1.0) -> str:
+    def quantity(value: float | None, unit: str, factor: float = 1.0) -> str:
         return MISSING if value is None else f"{number(value * factor)} {unit}"
 
-    core = worst("core_share", mine)
+    core = worst("core_share", dispatcher)
     rest = worst("core_share", at_rest, rolling)
     resident = worst("memory_mb", at_rest, busy, rolling)
-    passed = None if rolling is None or busy is None else (
+    control_bytes = None if rolling is None or busy is None else (
         rolling["discovery_bytes_a_second"] + rolling["server_bytes_a_second"])
-    urgent, lost, apart = (_of(row, "urgent_p999_s") for row in (calm, zone, cut))
+    urgent, lost, apart = (_figure(row, "urgent_p999_s") for row in (calm, zone, cut))
     parse = None if reload is None else reload["cpu_ms"] / 1000 * CHANGES_A_DAY / 86400
     rows: Rows = [
         ["2,700 workers, 6 regions, 19 zones", "a module that can keep them",
-         f"{say(core, '% of a core at 20 jobs a second', 100)}, part of {spread(mine, 'in_view')}",
+         f"{quantity(core, '% of a core at 20 jobs a second', 100)}, part of {spread(dispatcher, 'in_view')}",
          _holds(core, CORE), "parts of the list (`membership/part.py`)"],
         ["590 starts a second, 11,000 running", "the first attempt of most at once",
-         f"median {say(_of(calm, 'ordinary_p50_s'), 's')}, 99 of 100 {say(_of(calm, 'ordinary_p99_s'), 's')}"
-         f", denied {say(_of(calm, 'denied'), 'of 17,700')}",
+         f"median {quantity(_figure(calm, 'ordinary_p50_s'), 's')}, "
+         f"99 of 100 {quantity(_figure(calm, 'ordinary_p99_s'), 's')}"
+         f", denied {quantity(_figure(calm, 'denied'), 'of 17,700')}",
          "not known" if calm is None else "holds on a calm day", "the market, the lines (`choice.py`)"],
         ["gangs of up to 256", "all or none of them", "no counterpart here", "**does not**", "none"],
         ["690 teams with quotas", "a look and its memory, none over its limit",
-         f"{say(_of(level, 'admit_us'), 'us')}, {say(_of(level, 'megabytes'), 'MB')}; at 200 nodes "
-         f"{say(_of(over, 'most_of_limit'), 'times a limit of 40 a second')}",
+         f"{quantity(_figure(level, 'admit_us'), 'us')}, {quantity(_figure(level, 'megabytes'), 'MB')}; "
+         "at 200 nodes "
+         f"{quantity(_figure(over, 'most_of_limit'), 'times a limit of 40 a second')}",
          "not known" if over is None else "memory and cost hold; " + (
              "**the limit does not** at 200 nodes" if over["most_of_limit"] > 1.05 else "so does the limit"),
          "nested token windows (`quotas/`)"],
         ["urgent work starts within 1.6 s", "99.9 of 100, in virtual time",
-         f"calm {say(urgent, 's')}, a zone lost {say(lost, 's')}, a region cut off {say(apart, 's')}",
+         f"calm {quantity(urgent, 's')}, a zone lost {quantity(lost, 's')}, "
+         f"a region cut off {quantity(apart, 's')}",
          f"calm {_holds(urgent, URGENT_S)}, zone {_holds(lost, URGENT_S)}, regions {_holds(apart, URGENT_S)}",
          "rank by worth in the lines; a queue left early"],
         ["1,800 changes of configuration a day, in force within 3 s", "a way to every node",
-         f"at one node {say(_of(reload, 'in_force_s'), 's')}; nothing brings it there",
+         f"at one node {quantity(_figure(reload, 'in_force_s'), 's')}; nothing brings it there",
          "**does not**", "SIGHUP and a file a node: no distribution"],
         ["control: 1.6 % of a core", "at rest and under a rolling replacement, a whole process",
-         f"{say(rest, '%', 100)}; a new document each time {say(parse, '% more', 100)}",
+         f"{quantity(rest, '%', 100)}; a new document each time {quantity(parse, '% more', 100)}",
          _holds(rest, CORE) + ("" if rest is None or parse is None else
                                f"; with a whole document each time: {_holds(rest + parse, CORE)}"),
          "cost by the part, not by the list"],
-        ["control: 128 MB", "resident, all in", say(resident, "MB"), _holds(resident, MEMORY), "as above"],
+        ["control: 128 MB", "resident, all in", quantity(resident, "MB"), _holds(resident, MEMORY),
+         "as above"],
         ["control: 7 KB a second", "lists, watches, probes, both ways, rolling replacement, no jobs",
-         say(passed, "bytes a second"), _holds(passed, BYTES), "watch with changes alone; probes by need"],
+         quantity(control_bytes, "bytes a second"), _holds(control_bytes, BYTES),
+         "watch with changes alone; probes by need"],
         ["8 machines for control", "discovery, configuration", "no server of either is here", "not known",
          "from outside"],
         ["14 machines fail, 140 replaced a day; a zone", "142 servers at once in under 50 ms",
-         say(_of(mine, "zone_lost_ms"), "ms"), _holds(_of(mine, "zone_lost_ms"), 50.0),
+         quantity(_figure(dispatcher, "zone_lost_ms"), "ms"),
+         _holds(_figure(dispatcher, "zone_lost_ms"), 50.0),
          "change by change; ring in place"],
     ]
     return table(["asked", "what it needs", "measured or worked out", "verdict", "mechanism"], rows)
 
 
 def fleets(results: Results) -> str:
-    """Worked out, not measured: what so many nodes make of the figures."""
+    """Extrapolates the figures to fleets of several sizes; none of this is measured."""
     start = results.one("watches", watches=200, servers=SERVERS)
     rows: Rows = []
     for nodes in FLEETS:
@@ -262,15 +284,15 @@
 Tables = dict[str, Callable[[Results], str]]
 TABLES: Tables = {
     "verdict": verdict, "module": module, "rates": rates, "steps": steps, "memory": memory, "node": node,
-    "events": events, "watches": watches, "peak": peak, "looks": looks, "quotas": quotas,
+    "events": events, "watches": watches, "peak": peak, "looks": queue_checks, "quotas": quotas,
     "configuration": configuration,
     "fits": fits, "fleets": fleets}
 
 
-def filled(text: str, folder: Path = FOLDER, tables: Tables | None = None) -> str:
-    """A page with its tables made anew; this one's tables, if none are given."""
-    results, makers = Results(load_results(folder)), TABLES if tables is None else tables
-    return MARKED.sub(lambda found: found[1] + makers[found[2]](results) + found[3], text)
+def fill_tables(text: str, folder: Path = FOLDER, tables: Tables | None = None) -> str:
+    """Returns a page's text with all tables regenerated, by default with the tables of this module."""
+    results, generators = Results(load_results(folder)), TABLES if tables is None else tables
+    return TABLE_PATTERN.sub(lambda found: found[1] + generators[found[2]](results) + found[3], text)
 
 
 SPECS = (
@@ -290,5 +312,5 @@
 
 
 def fit(folder: Path = FOLDER) -> None:
-    """Lines through the results, by least squares; written beside them."""
+    """Fits all lines and writes them beside the results."""
     write_fits(fit_all(SPECS, Results(load_results(folder))), FITS)
--- a/benchmarks/capacity/system/page.py
+++ b/benchmarks/capacity/system/page.py
@@ -1,11 +1,11 @@
-"""docs/CAPACITY.md and its tables."""
+"""Generates the tables of docs/CAPACITY.md from results."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from pathlib import Path
 
-from benchmarks.capacity import page as tables_of_pages
+from benchmarks.capacity import page as service_page
 from benchmarks.capacity.fitting import Results, fit_all, write_fits
 from benchmarks.capacity.results import FOLDER, ROOT, load_results
 from benchmarks.capacity.system import mechanisms, role_table, tables, verdict
@@ -37,11 +37,11 @@
 }
 
 
-def filled(text: str, folder: Path = FOLDER) -> str:
-    """The page with its tables made anew."""
-    return tables_of_pages.filled(text, folder, TABLES)
+def fill_tables(text: str, folder: Path = FOLDER) -> str:
+    """Returns the page's text with all tables regenerated."""
+    return service_page.fill_tables(text, folder, TABLES)
 
 
 def fit(folder: Path = FOLDER) -> None:
-    """Lines through the results, written beside them."""
+    """Fits all lines and writes them beside the results."""
     write_fits(fit_all(SPECS, Results(load_results(folder))), FITS)
--- a/benchmarks/test_keys.py
+++ b/benchmarks/test_keys.py
@@ -1,4 +1,4 @@
-"""What the look at one request's key costs an edge: its digest and its owner among 10,000 keys.
+"""Cost of checking a request's API key at an edge node: its digest and its owner among 10,000 keys.
 
 make benchmark
 """
@@ -13,7 +13,7 @@
 from arrowfold.dataplane.credentials import admit, read_credentials
 
 TENANTS = 1_000
-KEYS_OF_EACH = 10
+KEYS_PER_TENANT = 10
 VALUE = {
     "version": 1,
     "services": [{"name": "cards"}],
@@ -27,7 +27,7 @@
         }
     ],
     "tenants": [
-        {"name": f"tenant-{tenant}", "apiKeys": [f"key-{tenant}-{key}" for key in range(KEYS_OF_EACH)]}
+        {"name": f"tenant-{tenant}", "apiKeys": [f"key-{tenant}-{key}" for key in range(KEYS_PER_TENANT)]}
         for tenant in range(TENANTS)
     ],
 }
@@ -41,14 +41,14 @@
         (b"X-Token-Usage", b"1460,80"),
         (b"X-Prompt-Prefix", b"5c1e07a2:800,91bd3f06:410,e4402b7d:250"),
         (b"X-Deadline-Ms", b"5220"),
-        (b"Authorization", b"Bearer key-%d-%d" % (tenant, tenant % KEYS_OF_EACH)),
+        (b"Authorization", b"Bearer key-%d-%d" % (tenant, tenant % KEYS_PER_TENANT)),
     )
     for tenant in range(TENANTS)
 ]
 
 
 def test_a_request_on_arrival(benchmark: Any) -> None:
-    """Its headers are searched, the key is digested and its owner found."""
+    """Searches the headers, computes the key's digest and looks up its owner."""
     headers = itertools.cycle(REQUESTS)
 
     def check() -> None:
@@ -58,8 +58,8 @@
     benchmark(check)
 
 
-def test_the_look_before_one_more_attempt(benchmark: Any) -> None:
-    """The digest is known: its owner is found again."""
+def test_a_check_before_another_attempt(benchmark: Any) -> None:
+    """Looks up the owner again with the known digest."""
     credentials = itertools.cycle([read_credentials(headers) for headers in REQUESTS])
 
     def check() -> None:
--- a/benchmarks/test_routes.py
+++ b/benchmarks/test_routes.py
@@ -1,4 +1,4 @@
-"""What a route costs an arrival: 0, 10 and 10,000 rules, and 10,000 networks.
+"""Cost of a route lookup with 0, 10 and 10,000 rules, and with 10,000 networks.
 
     make benchmark
 """
@@ -19,15 +19,15 @@
 
 
 def table(rules: int, networks: int = 0) -> RouteTable:
-    """Rules of every shape; the last one matches."""
+    """Makes a table with rules of every kind, of which only the last one matches."""
     rng = random.Random(1)
     rows = []
     for number in range(rules - 1):
-        parts: list[dict[str, Any]] = [
+        criteria: list[dict[str, Any]] = [
             {"tenants": frozenset({f"tenant-{number + 10}"})}, {"keys": frozenset({f"key-{number}"})},
             {"key_prefixes": frozenset({f"prefix-{number}:"})}, {"regions": frozenset({f"region-{number}"})},
             {"classes": frozenset({"search"}), "retry": True}]
-        match = Match(**parts[number % len(parts)])
+        match = Match(**criteria[number % len(criteria)])
         rows.append(Rule(f"r{number}", match, Action(prefer=("here",))))
     drawn = {f"{rng.randrange(11, 200)}.{rng.randrange(256)}.{rng.randrange(256)}.0/24"
              for _ in range(2 * networks)}
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize(
     ("rules", "networks"), [(0, 0), (10, 0), (10_000, 0), (10, 10_000), (10_000, 10_000)])
-def test_look_up(benchmark: Any, rules: int, networks: int) -> None:
+def test_lookup(benchmark: Any, rules: int, networks: int) -> None:
     found = benchmark(table(rules, networks).find, SUBJECT)
     assert (found is None) is (rules == 0)
     assert found is None or found[0].name == "last"
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -48,7 +48,7 @@
 
 def test_the_tables_are_those_of_the_results() -> None:
     text = page.PAGE.read_text()
-    assert page.filled(text) == text, "make capacity"
+    assert page.fill_tables(text) == text, "make capacity"
     assert set(re.findall(r"<!-- table: (\w+) -->", text)) == set(page.TABLES)
 
 
@@ -56,7 +56,7 @@
     text = page.PAGE.read_text()
     wrong = text.replace("**does not**", "holds", 1)
     assert wrong != text
-    assert page.filled(wrong) == text
+    assert page.fill_tables(wrong) == text
 
 
 def test_tables_by_hand_hold_no_figures() -> None:
@@ -67,9 +67,9 @@
 def test_every_table_can_say_that_nothing_is_measured() -> None:
     with tempfile.TemporaryDirectory() as folder:
         for name in page.TABLES:
-            text = page.filled(f"<!-- table: {name} -->\n<!-- end -->", Path(folder))
+            text = page.fill_tables(f"<!-- table: {name} -->\n<!-- end -->", Path(folder))
             assert text.count("\n") >= 3
-        verdict = page.filled("<!-- table: breaks -->\n<!-- end -->", Path(folder))
+        verdict = page.fill_tables("<!-- table: breaks -->\n<!-- end -->", Path(folder))
         assert MISSING in verdict
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -215,20 +215,20 @@
 class Page(unittest.TestCase):
     def test_its_tables_are_those_of_the_results(self) -> None:
         text = page.PAGE.read_text()
-        self.assertEqual(page.filled(text), text, "make capacity")
-        self.assertEqual({found[2] for found in page.MARKED.finditer(text)}, set(page.TABLES))
+        self.assertEqual(page.fill_tables(text), text, "make capacity")
+        self.assertEqual({found[2] for found in page.TABLE_PATTERN.finditer(text)}, set(page.TABLES))
 
     def test_a_figure_typed_by_hand_shows(self) -> None:
         text = page.PAGE.read_text()
-        table = page.MARKED.search(text)
+        table = page.TABLE_PATTERN.search(text)
         assert table is not None
         wrong = text.replace(table[0], table[0].replace("| holds |", "| **does not** |", 1), 1)
         self.assertNotEqual(wrong, text)
-        self.assertEqual(page.filled(wrong), text)
+        self.assertEqual(page.fill_tables(wrong), text)
 
     def test_what_was_not_measured_is_said_to_be_so(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            text = page.filled("<!-- table: verdict -->\n<!-- end -->", Path(folder))
+            text = page.fill_tables("<!-- table: verdict -->\n<!-- end -->", Path(folder))
         self.assertIn(page.MISSING, text)
         self.assertNotIn("| holds |", text)
 
