--- a/benchmarks/capacity/system/documents.py
+++ b/benchmarks/capacity/system/documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: whole and as a delta, by models, adapters and routes."""
+"""Costs of the operators' configuration, whole and as a delta, by models, adapters and routes."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 
 def document_text(models: int, adapters: int, routes: int, version: int = 1) -> bytes:
-    """The JSON text of a configuration of this size."""
+    """Returns the JSON text of a configuration of this size."""
     return json.dumps(configuration(models, adapters, routes, version), separators=(",", ":")).encode()
 
 
 def change_of_one_route(version: int) -> bytes:
-    """An operator's PATCH that moves one route to another time-out."""
+    """Returns the body of a PATCH that changes the timeout of one route."""
     changed: dict[str, Any] = {**route(0), "timeoutMs": 10_000 + version}
     return json.dumps({"version": version, "upsert": {"routes": [changed]}}, separators=(",", ":")).encode()
 
 
 def document(models: int, adapters: int, routes: int, seed: int) -> Figures:
-    """One change: checked and committed at the primary, applied at an edge, whole and as a delta."""
+    """Measures one change: checked and committed at the primary, applied at an edge, whole and as a delta."""
     del seed
     text = document_text(models, adapters, routes)
     parsed = parse_configuration(text)
@@ -55,16 +55,16 @@
     tables = FleetTables()
     tables.take(whole)
     base = tables.snapshot
-    news = ConfigurationDelta(2, 1, 2, step)
+    delta_update = ConfigurationDelta(2, 1, 2, step)
 
     def take_whole() -> None:
         FleetTables().take(whole)
 
     def take_delta() -> None:
         tables.snapshot = base
-        tables.take(PullResponse(True, view, {"state": 2}, (news,)))
+        tables.take(PullResponse(True, view, {"state": 2}, (delta_update,)))
 
-    def in_force() -> FleetTables:
+    def tables_with_configuration() -> FleetTables:
         fresh = FleetTables()
         fresh.take(replace(whole, updates=(ConfigurationUpdate(1, 1, bytes(bytearray(text))),)))
         return fresh
@@ -80,5 +80,5 @@
         "apply_entry_ms": processor_s(lambda: apply_entry(state, entry)) / MILLISECOND,
         "edge_whole_ms": processor_s(take_whole) / MILLISECOND,
         "edge_delta_ms": processor_s(take_delta) / MILLISECOND,
-        "edge_megabytes": held_bytes(in_force) / MEGABYTE,
+        "edge_megabytes": held_bytes(tables_with_configuration) / MEGABYTE,
     }
--- a/benchmarks/capacity/system/failover.py
+++ b/benchmarks/capacity/system/failover.py
@@ -1,4 +1,4 @@
-"""Replication over regions in virtual time: commit, fail-over and a region cut off for a while."""
+"""Replication over regions in virtual time: commit, failover and a temporary partition of a region."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
     run_virtual,
 )
 
-IN_REGION_S = 0.0005  # one way
+IN_REGION_S = 0.0005  # one-way delay
 SYNC_S = 0.005
 SETTLING_S = 10.0
-PATIENCE_S = 30.0
-LOOK_S = 0.005
+WAIT_TIMEOUT_S = 30.0
+CHECK_INTERVAL_S = 0.005
 COMMITS = 20
 FAILURES = 8
 AT_REST_S = 20.0
 
 
 class Group:
-    """Control members of a fleet: their replicas, round one network."""
+    """A replication group: all replicas of the control nodes on one simulated network."""
 
     def __init__(self, members: int, losses: int, cross_region_s: float, seed: int) -> None:
         self._losses = losses
@@ -59,7 +59,7 @@
         self.stuck = 0
 
     async def start(self) -> None:
-        """Found the group and wait until every member is a witness."""
+        """Bootstraps the group and waits until every member has joined."""
         seeds = tuple(self.addresses[:3])
         for number, address in enumerate(self.addresses):
             self._start_member(number, address, seeds)
@@ -89,34 +89,34 @@
         return record is not None and len(record.group) == len(self.addresses)
 
     def primary(self) -> str | None:
-        """The address of the active primary that is alive, if there is one."""
+        """Returns the address of the active primary that is alive, if there is one."""
         for address, replica in self.replicas.items():
             if address not in self.network.dead and replica.is_primary():
                 return address
         return None
 
     async def _until(self, reached: Callable[[], bool]) -> float:
-        """Seconds until something holds; after `PATIENCE_S` it is counted in `stuck` and given up."""
+        """Waits for a condition, up to `WAIT_TIMEOUT_S`; returns the seconds and counts timeouts in `stuck`."""
         clock = asyncio.get_running_loop().time
         started = clock()
         while not reached():
-            if clock() - started > PATIENCE_S:
+            if clock() - started > WAIT_TIMEOUT_S:
                 self.stuck += 1
                 break
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
         return clock() - started
 
     async def commit(self) -> float:
-        """Seconds that one change of configuration takes at the primary."""
+        """Commits one change of configuration at the primary; returns the seconds it took."""
         clock = asyncio.get_running_loop().time
         started = clock()
-        while clock() - started < PATIENCE_S:
+        while clock() - started < WAIT_TIMEOUT_S:
             primary = self.primary()
             if primary is not None:
                 result = await self.replicas[primary].propose(self._decide)
                 if isinstance(result, Ok):
                     return clock() - started
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
         self.stuck += 1
         return clock() - started
 
@@ -131,7 +131,10 @@
         return Proposal(state.sequence, step)
 
     async def lose_primary(self) -> tuple[float, float]:
-        """Freeze the primary: seconds until another leads, and until a change is committed; then thaw it."""
+        """Stops the primary's network until another primary has committed a change.
+
+        Returns the seconds until another primary is active, and until the change is committed.
+        """
         clock = asyncio.get_running_loop().time
         await self._until(lambda: self.primary() is not None)
         lost = self.primary() or self.addresses[0]
@@ -147,36 +150,36 @@
         return leads_s, committed_s
 
     async def cut_off_region(self, length_s: float) -> Figures:
-        """Cut the primary's region off for a while, with changes meanwhile, and heal it."""
+        """Partitions the primary's region for `length_s`, then heals the partition and waits for recovery."""
         clock = asyncio.get_running_loop().time
         await self._until(lambda: self.primary() is not None)
         lost = self.primary() or self.addresses[0]
         for address in self.addresses:
-            self.network.islands[address] = int(self.region[address] == self.region[lost])
+            self.network.partitions[address] = int(self.region[address] == self.region[lost])
         started = clock()
         await self._until(
             lambda: any(
                 self.replicas[address].is_primary()
                 for address in self.addresses
-                if not self.network.islands[address]
+                if not self.network.partitions[address]
             )
         )
-        away_s = clock() - started
-        both = sum(replica.is_primary() for replica in self.replicas.values())
-        await asyncio.sleep(max(0.0, length_s - away_s))
-        before = self.network.call_bytes
-        self.network.islands.clear()
-        healed = clock()
+        elected_s = clock() - started
+        primaries = sum(replica.is_primary() for replica in self.replicas.values())
+        await asyncio.sleep(max(0.0, length_s - elected_s))
+        bytes_before = self.network.call_bytes
+        self.network.partitions.clear()
+        healed_s = clock()
         await self._until(self._is_whole)
         return {
-            "cut_leads_s": away_s,
-            "cut_primaries": float(both),
-            "heal_s": clock() - healed,
-            "heal_bytes": float(self.network.call_bytes - before),
+            "cut_leads_s": elected_s,
+            "cut_primaries": float(primaries),
+            "heal_s": clock() - healed_s,
+            "heal_bytes": float(self.network.call_bytes - bytes_before),
         }
 
 
-async def _story(members: int, losses: int, cross_region_s: float, seed: int) -> Figures:
+async def _scenario(members: int, losses: int, cross_region_s: float, seed: int) -> Figures:
     group = Group(members, losses, cross_region_s, seed)
     await group.start()
     await asyncio.sleep(SETTLING_S)
@@ -204,7 +207,7 @@
 
 
 def failover(members: int, losses: int, cross_region_ms: float, seed: int) -> Figures:
-    """A group of so many members over six regions, with this delay one way between regions."""
-    story: Any = _story(members, losses, cross_region_ms / 1000, seed)
-    figures: Figures = run_virtual(story)
+    """Measures a group of so many members over six regions, with a one-way delay between regions."""
+    scenario: Any = _scenario(members, losses, cross_region_ms / 1000, seed)
+    figures: Figures = run_virtual(scenario)
     return figures
--- a/benchmarks/capacity/system/fits.py
+++ b/benchmarks/capacity/system/fits.py
@@ -1,4 +1,4 @@
-"""Which lines are fitted through the results of the whole system, and what they give at a size."""
+"""Specifies the lines fitted to the results of the whole system, and looks up their values."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 MEGA = 1e-6
 KILO = 1e-3
 PERCENT = 100.0
-LARGE = 12_130  # classes of the selection's tests
+LARGE = 12_130  # number of classes in the selection tests
 
 
 class Label:
-    """The names of the lines."""
+    """The labels of the lines, which the tables show."""
 
     HEARTBEAT_BYTES = "heartbeat, body, bytes"
     HEARTBEAT_PARSE = "heartbeat, checked and taken, us"
@@ -134,25 +134,25 @@
 
 
 class Unmeasured(LookupError):
-    """A figure that no result gives yet."""
+    """A figure has not been measured yet."""
 
 
 class Lines:
-    """The fitted lines by their names."""
+    """Looks up fitted lines by label."""
 
     def __init__(self, lines: list[FittedLine]) -> None:
         self._lines = {line.figure: line for line in lines}
 
     def at(self, label: str, size: float) -> float:
-        """A line's value at a size; raises Unmeasured."""
+        """Returns a line's value at a size. Raises Unmeasured if there is no such line."""
         return self.line(label).at(size)
 
     def line(self, label: str) -> FittedLine:
-        """A line; raises Unmeasured."""
+        """Returns a line. Raises Unmeasured if there is none with this label."""
         if label not in self._lines:
             raise Unmeasured(label)
         return self._lines[label]
 
     def all(self) -> list[FittedLine]:
-        """All lines, in the order of the specs."""
+        """Returns all lines in the order of the specs."""
         return [self._lines[spec.label] for spec in SPECS if spec.label in self._lines]
--- a/benchmarks/capacity/system/measuring.py
+++ b/benchmarks/capacity/system/measuring.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of a piece of work in this process."""
+"""Measures processor time and memory of functions in this process."""
 
 from __future__ import annotations
 
@@ -9,57 +9,61 @@
 from typing import Any
 
 BATCHES = 5
-LEAST_BATCH_S = 0.02  # of processor time, so that the clock's steps don't count
+MIN_BATCH_S = 0.02  # processor time of a batch, so that the clock's resolution does not matter
 MEGABYTE = 1e6
 MICROSECOND = 1e-6
 MILLISECOND = 1e-3
 
 
 def processor_s(work: Callable[[], Any], repeats: int = 0) -> float:
-    """Processor seconds of one call: the least of some batches, since other programs share the caches."""
+    """Returns the processor seconds of one call, as the minimum over some batches.
+
+    The minimum is used since other programs share the processor's caches. Without `repeats` the
+    calls per batch are chosen by `MIN_BATCH_S`.
+    """
     if repeats == 0:
-        repeats = _repeats(work)
+        repeats = _repeats_per_batch(work)
     best = float("inf")
     for _ in range(BATCHES):
-        started = time.process_time()
+        started_s = time.process_time()
         for _ in range(repeats):
             work()
-        best = min(best, (time.process_time() - started) / repeats)
+        best = min(best, (time.process_time() - started_s) / repeats)
     return best
 
 
-def _repeats(work: Callable[[], Any]) -> int:
+def _repeats_per_batch(work: Callable[[], Any]) -> int:
     repeats = 1
     while True:
-        started = time.process_time()
+        started_s = time.process_time()
         for _ in range(repeats):
             work()
-        if time.process_time() - started >= LEAST_BATCH_S:
+        if time.process_time() - started_s >= MIN_BATCH_S:
             return repeats
         repeats *= 2
 
 
 def processor_once_s(prepare: Callable[[], Callable[[], Any]], times: int = 3) -> float:
-    """Processor seconds of work that can run only once on what `prepare` makes; the least of some."""
+    """Returns the processor seconds of work that can run only once after each `prepare()`; the minimum."""
     best = float("inf")
     for _ in range(times):
         work = prepare()
         gc.collect()
-        started = time.process_time()
+        started_s = time.process_time()
         work()
-        best = min(best, time.process_time() - started)
+        best = min(best, time.process_time() - started_s)
     return best
 
 
 def held_bytes(make: Callable[[], Any]) -> int:
-    """Bytes that the value which `make` builds keeps allocated."""
+    """Returns the bytes allocated by the value that `make` returns."""
     gc.collect()
     tracemalloc.start()
     try:
-        kept = make()
+        value = make()
         gc.collect()
         size, _ = tracemalloc.get_traced_memory()
-        del kept
+        del value
     finally:
         tracemalloc.stop()
     return size
--- a/benchmarks/capacity/system/population.py
+++ b/benchmarks/capacity/system/population.py
@@ -1,4 +1,4 @@
-"""Workers, members and configurations of any size, drawn from a seed."""
+"""Generates workers, members and configurations of any size from a seed."""
 
 from __future__ import annotations
 
@@ -21,48 +21,48 @@
 
 
 def model_name(number: int) -> str:
-    """The name of a model, ten characters long as in the deployments that are known."""
+    """Returns a model's name, ten characters long as in the known deployments."""
     return f"mo{number:08x}"
 
 
 def adapter_name(number: int) -> str:
-    """The name of a model's adapter, counted from 1."""
+    """Returns the name of a model's adapter, counted from 1."""
     return f"a{number}"
 
 
 def zone_name(number: int) -> str:
-    """The name of a zone."""
+    """Returns the name of a zone."""
     return f"zone-{number % target.ZONES:02d}"
 
 
-def adapters_of_each_model(adapters: int, models: int) -> int:
-    """Adapters spread evenly over the models."""
+def adapters_per_model_of(adapters: int, models: int) -> int:
+    """Returns the number of adapters per model, at least one."""
     return max(1, adapters // models)
 
 
 def held_models(
     draw: random.Random, models: int = target.MODELS_PER_WORKER, adapters: int = target.ADAPTERS_PER_WORKER
 ) -> tuple[HeldModel, ...]:
-    """What one worker holds: so many models, with so many adapters on them in all."""
+    """Draws the models of one worker, with so many adapters in all."""
     names = draw.sample(range(target.MODELS), models)
-    most = adapters_of_each_model(target.ADAPTERS, target.MODELS)
+    adapters_per_model = adapters_per_model_of(target.ADAPTERS, target.MODELS)
     held = []
     for position, number in enumerate(names):
         count = adapters // models + (1 if position < adapters % models else 0)
-        chosen = sorted(draw.sample(range(1, most + 1), min(count, most)))
+        chosen = sorted(draw.sample(range(1, adapters_per_model + 1), min(count, adapters_per_model)))
         held.append(HeldModel(model_name(number), 1, tuple(adapter_name(adapter) for adapter in chosen)))
     return tuple(held)
 
 
 def worker_address(number: int) -> str:
-    """The address of a worker; all are on loopback, so that real control nodes can call them."""
+    """Returns a worker's address on loopback, so that real control nodes can call it."""
     return f"127.{30 + number // 62_500}.{number // 250 % 250}.{number % 250 + 1}:8080"
 
 
 def worker_record(
     number: int, draw: random.Random, adapters: int = target.ADAPTERS_PER_WORKER
 ) -> WorkerRecord:
-    """The record of one worker."""
+    """Draws the record of one worker."""
     return WorkerRecord(
         instance=f"i-{draw.getrandbits(32):08x}",
         service=SERVICE,
@@ -77,13 +77,13 @@
 
 
 def worker_records(workers: int, seed: int) -> list[WorkerRecord]:
-    """The records of so many workers."""
+    """Draws the records of so many workers."""
     draw = random.Random(seed)
     return [worker_record(number, draw) for number in range(workers)]
 
 
 def registration_body(record: WorkerRecord) -> bytes:
-    """The body of the heartbeat that tells this record."""
+    """Returns the body of a heartbeat with this record."""
     models = [
         {"name": held.name, "version": held.version, "adapters": list(held.adapters)}
         for held in record.models
@@ -104,17 +104,17 @@
 
 
 def member_name(number: int) -> str:
-    """The identity of a core machine: 16 hexadecimal digits."""
+    """Returns a control node's identity: 16 hexadecimal digits."""
     return f"{number:016x}"
 
 
 def origin_name(number: int) -> str:
-    """The name of one life of a control node."""
+    """Returns the origin name of one incarnation of a control node."""
     return f"{member_name(number)}.{number % 0x1000000:06x}"
 
 
 def cluster_view(members: int, edges: int) -> ClusterView:
-    """The group as pulls carry it."""
+    """Returns the group's view as pulls carry it."""
     infos = tuple(
         MemberInfo(
             member_name(n), f"core-{zone_name(n)}-{n}", f"10.1.{n}.35:7660", f"10.1.{n}.35:8146", zone_name(n)
@@ -126,7 +126,7 @@
 
 
 def edge_identity(number: int) -> NodeIdentity:
-    """Who an edge says that it is."""
+    """Returns the identity that an edge node sends."""
     zone = zone_name(number)
     return NodeIdentity(
         f"edge-{zone}-{number}", member_name(number), zone, f"10.2.{number % 256}.35:7660", ("edge",)
@@ -134,12 +134,12 @@
 
 
 def vector(origins: int) -> dict[str, int]:
-    """A version vector with so many origins beside the replicated state."""
+    """Returns a version vector with so many origins besides the replicated state."""
     return {"state": 1_500, **{origin_name(n): 700 + n for n in range(origins)}}
 
 
 def route(number: int, service: str = SERVICE) -> dict[str, Any]:
-    """A route with all its members."""
+    """Returns a route with all its fields."""
     return {
         "name": f"r-{number:07x}",
         "hostname": "models.example",
@@ -157,14 +157,14 @@
 
 
 def configuration(models: int, adapters: int, routes: int, version: int = 1) -> dict[str, Any]:
-    """A whole configuration of one service."""
-    each = adapters_of_each_model(adapters, models)
+    """Returns a whole configuration with one service."""
+    per_model = adapters_per_model_of(adapters, models)
     listed = [
         {
             "name": model_name(n),
             "weightsMb": MODEL_MEGABYTES,
             "loadTimeS": 3.2,
-            "adapters": each,
+            "adapters": per_model,
             "adapterSizeMb": 66.0,
         }
         for n in range(models)
--- a/benchmarks/capacity/system/registries.py
+++ b/benchmarks/capacity/system/registries.py
@@ -1,4 +1,4 @@
-"""Heartbeats as records, and the registry of a control node: processor time, bytes and memory by size."""
+"""Costs of heartbeats and of a control node's registry: processor time, bytes and memory by size."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def heartbeat(adapters: int, seed: int) -> Figures:
-    """One worker's heartbeat with so many adapters on three models."""
+    """Measures one worker's heartbeat with so many adapters on three models."""
     record = worker_record(seed, random.Random(seed), adapters)
     body = registration_body(record)
     parsed = parse_registration(record.instance, body)
@@ -40,7 +40,7 @@
     registry = WorkerRegistry(origin_name(0), lambda: 0.0, target.HEARTBEAT_S)
     sequence = 1
 
-    def heard() -> None:
+    def register_heartbeat() -> None:
         nonlocal sequence
         sequence += 1
         registry.heard(replace(record, call_sequence=sequence))
@@ -49,14 +49,14 @@
         "body_bytes": float(len(body)),
         "record_bytes": float(len(encoded)),
         "parse_us": processor_s(lambda: parse_registration(record.instance, body)) / MICROSECOND,
-        "heard_us": processor_s(heard) / MICROSECOND,
+        "heard_us": processor_s(register_heartbeat) / MICROSECOND,
         "encode_us": processor_s(lambda: encode(update)) / MICROSECOND,
         "decode_us": processor_s(lambda: decode(encoded)) / MICROSECOND,
     }
 
 
 def filled_registry(records: list[WorkerRecord], origins: int = target.CONTROL_MACHINES) -> WorkerRegistry:
-    """A registry that heard its share of the workers itself and took the others from other origins."""
+    """Returns a registry with its own share of the workers, and the others merged from other origins."""
     registry = WorkerRegistry(origin_name(0), lambda: 0.0, target.HEARTBEAT_S)
     counters: dict[str, int] = {}
     updates = []
@@ -72,28 +72,28 @@
 
 
 def registry(workers: int, seed: int) -> Figures:
-    """The registry of one of eight control nodes, with so many workers."""
+    """Measures the registry of one of eight control nodes with so many workers."""
     records = worker_records(workers, seed)
-    kept = filled_registry(records)
-    whole = kept.missing({})
-    newest = {**kept.vector(), kept.origin: kept.vector()[kept.origin] - 1}
+    filled = filled_registry(records)
+    whole = filled.missing({})
+    newest = {**filled.vector(), filled.origin: filled.vector()[filled.origin] - 1}
     zone = tuple(update for update in whole if update.record.zone == records[0].zone)
     figures = {
         "megabytes": held_bytes(lambda: filled_registry(worker_records(workers, seed))) / MEGABYTE,
-        "sweep_ms": processor_s(lambda: kept.sweep(lambda origin: True)) / MILLISECOND,
-        "missing_one_ms": processor_s(lambda: kept.missing(newest)) / MILLISECOND,
+        "sweep_ms": processor_s(lambda: filled.sweep(lambda origin: True)) / MILLISECOND,
+        "missing_one_ms": processor_s(lambda: filled.missing(newest)) / MILLISECOND,
         "whole_bytes": float(len(encode(whole))),
         "whole_encode_ms": processor_s(lambda: encode(whole)) / MILLISECOND,
         "zone_bytes": float(len(encode(zone))),
         "zone_records": float(len(zone)),
     }
-    counters = kept.vector()
+    counters = filled.vector()
 
-    def merged() -> WorkerRegistry:
+    def empty_registry() -> WorkerRegistry:
         return WorkerRegistry(origin_name(9_999), lambda: 0.0, target.HEARTBEAT_S)
 
     def prepare() -> object:
-        other = merged()
+        other = empty_registry()
         return lambda: other.merge(whole, counters)
 
     figures["merge_whole_ms"] = processor_once_s(prepare) / MILLISECOND  # type: ignore[arg-type]
--- a/benchmarks/capacity/system/saying.py
+++ b/benchmarks/capacity/system/saying.py
@@ -1,4 +1,4 @@
-"""How worked-out figures are written, and what is written where a result is missing."""
+"""Formats extrapolated figures for the tables, and marks missing results."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def scaled(results: Results, factor: float = 1.0) -> Scaled:
-    """The costs at a factor of the operators' size, by the fits that are kept."""
+    """Returns the costs at a factor of the operators' size, from the stored fits."""
     return Scaled(Lines(read_fits(FITS)), results, factor)
 
 
 def say(cell: Cell, at: Scaled) -> str:
-    """A text made of figures, or that they are not measured yet."""
+    """Returns a cell's text, or `MISSING` if one of its figures is not measured yet."""
     try:
         return cell(at)
     except Unmeasured:
@@ -30,22 +30,22 @@
 
 
 def core(share: float) -> str:
-    """A share of a core; of more than one, how many."""
+    """Formats a share of a core; from one core on, the number of cores."""
     return f"{number(share * PERCENT)} % of a core" if share < 1 else f"{number(share)} cores"
 
 
 def rate(bytes_a_second: float) -> str:
-    """Bytes a second."""
+    """Formats bytes a second as KB/s."""
     return f"{number(bytes_a_second / KILO)} KB/s"
 
 
 def milliseconds(value: float) -> str:
-    """Milliseconds, or seconds where there are many."""
+    """Formats milliseconds, from 1,000 on as seconds."""
     return f"{number(value)} ms" if value < KILO else f"{number(value * MILLI)} s"
 
 
 def amount(value: float, unit: str) -> str:
-    """A figure in its unit."""
+    """Formats a figure with its unit."""
     if unit == "of a core":
         return core(value)
     if unit == "bytes a second":
--- a/benchmarks/capacity/system/streams.py
+++ b/benchmarks/capacity/system/streams.py
@@ -1,4 +1,4 @@
-"""A real edge process that passes on streams: processor time by requests and events, memory by workers."""
+"""A real edge process that forwards streams: processor time by requests and events, memory by workers."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 
 @dataclass
 class RealEdge:
-    """An edge process and the clients in front of it."""
+    """An edge process and its clients."""
 
     pid: int
     clients: HollowProcess
 
     def use(self) -> ProcessUse:
-        """What the edge has used."""
+        """Returns the processor time and memory of the edge."""
         return process_use(self.pid)
 
 
 @contextlib.contextmanager
 def real_edge(workers: int, rate: float, events: int, seed: int) -> Iterator[RealEdge]:
-    """An edge that knows so many workers, of which eight can stream; its clients have not begun."""
+    """Runs an edge with so many workers, of which eight can stream; its clients send no requests yet."""
     with hollow_fleet(0, workers, 0.0, seed, target.FEW_CONTROL) as fleet, contextlib.ExitStack() as stack:
         group = fleet.group
         clients = HollowProcess(
@@ -60,7 +60,7 @@
         )
         stack.callback(clients.close)
         clients.ask("start")
-        _await(lambda: clients.ask("figures")["heard"] == STREAM_WORKERS)
+        _wait_until(lambda: clients.ask("figures")["heard"] == STREAM_WORKERS)
         process = _start_edge(group)
         stack.callback(process.wait)
         stack.callback(process.kill)
@@ -74,16 +74,16 @@
     return start_process("arrowfold.programs.edge", path, group.folder / "edge.log")
 
 
-def _await(reached: Callable[[], bool]) -> None:
-    ends = time.monotonic() + READY_WITHIN_S
+def _wait_until(reached: Callable[[], bool]) -> None:
+    deadline_s = time.monotonic() + READY_WITHIN_S
     while not reached():
-        if time.monotonic() > ends:
+        if time.monotonic() > deadline_s:
             raise TimeoutError("the stream workers were not acknowledged")
         time.sleep(0.1)
 
 
 def streams(workers: int, rate: float, events: int, seed: int) -> Figures:
-    """Requests at a rate, each a stream of so many events, through one edge."""
+    """Measures one edge with requests at a rate, each a stream of so many events."""
     with real_edge(workers, rate, events, seed) as edge:
         if rate > 0:
             edge.clients.ask("serve")
@@ -91,14 +91,14 @@
         before_clients = edge.clients.ask("reset")
         before, started = edge.use(), time.monotonic()
         time.sleep(MEASURED_S)
-        after, passed_s = edge.use(), time.monotonic() - started
+        after, elapsed_s = edge.use(), time.monotonic() - started
         clients = edge.clients.ask("figures")
         return {
-            "core_share": (after.processor_s - before.processor_s) / passed_s,
-            "own_share": (after.own_s - before.own_s) / passed_s,
+            "core_share": (after.processor_s - before.processor_s) / elapsed_s,
+            "own_share": (after.own_s - before.own_s) / elapsed_s,
             "resident_mb": after.resident_bytes / MEGABYTE,
             "peak_mb": after.peak_bytes / MEGABYTE,
-            "done_a_second": (clients["done"] - before_clients["done"]) / passed_s,
+            "done_a_second": (clients["done"] - before_clients["done"]) / elapsed_s,
             "failed": float(clients["failed"] - before_clients["failed"]),
             "event_p50_ms": clients["event_p50_ms"],
             "event_p95_ms": clients["event_p95_ms"],
--- a/benchmarks/capacity/system/tables.py
+++ b/benchmarks/capacity/system/tables.py
@@ -5,7 +5,7 @@
 from benchmarks.capacity.fitting import Results, read_fits
 from benchmarks.capacity.page import number, spread, table
 from benchmarks.capacity.system import target
-from benchmarks.capacity.system.failover import FAILURES, PATIENCE_S
+from benchmarks.capacity.system.failover import FAILURES, WAIT_TIMEOUT_S
 from benchmarks.capacity.system.fits import FITS
 from benchmarks.capacity.system.fleet import CHANGES, MEASURED_S
 from benchmarks.capacity.system.pulls import BURST
@@ -190,7 +190,7 @@
         ("its region cut: next leads, s", "cut_leads_s", 1),
         ("joined again: whole, s", "heal_s", 1),
         ("KB", "heal_bytes", KILO),
-        (f"not whole in {PATIENCE_S:.0f} s", "stuck", 1),
+        (f"not whole in {WAIT_TIMEOUT_S:.0f} s", "stuck", 1),
     ]
     return rows(results, "failover", ["members", "delay"], columns)
 
--- a/benchmarks/capacity/system/target.py
+++ b/benchmarks/capacity/system/target.py
@@ -1,4 +1,4 @@
-"""The size that the operators ask for, and the assumptions that the tests add to it."""
+"""The operators' target size and bounds, and the assumptions that the tests add to them."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 FAILURES_PER_DAY = 44
 RESTARTS_PER_DAY = 520
 SECONDS_PER_DAY = 86_400
-APART_S = 3_600  # regions that lose each other
+APART_S = 3_600  # longest partition between regions
 
-# Assumed, since the operators' page does not say; taken from the two deployments that are known.
+# Assumptions, since the operators' page does not specify these; taken from the two known deployments.
 HEARTBEAT_S = 1.2
 MODELS_PER_WORKER = 3  # 230 GB of memory for weights of 72.7 GB each
 ADAPTERS_PER_WORKER = 8
 TOKENS_PER_EVENT = 4
-FEW_CONTROL = 1  # control nodes round which hollow fleets are held, since they share this machine
-ROUTES = 130  # one a model
+FEW_CONTROL = 1  # control nodes of a simulated fleet, since all processes share one machine
+ROUTES = 130  # one per model
 EDGE_PULL_S = 1.0  # `dataplane.puller.POLL_S`
 REPORT_INTERVAL_S = 0.5  # `dataplane.node.ROUND_S`
 
--- a/benchmarks/capacity/system/virtual_time.py
+++ b/benchmarks/capacity/system/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time, a disk in memory and a network with delays, for control nodes in process."""
+"""Virtual time, an in-memory disk and a network with delays, for control nodes in one process."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 Handlers = dict[type[Any], Callable[[Any], Awaitable[Any]]]
 
 
-def run_virtual(story: Coroutine[Any, Any, T]) -> T:
-    """Run a story to its end in virtual time; what still runs then is cancelled."""
+def run_virtual(scenario: Coroutine[Any, Any, T]) -> T:
+    """Runs a coroutine to its end in virtual time and cancels the remaining tasks."""
     loop = VirtualTimeLoop()  # type: ignore[abstract]
     try:
-        result: T = loop.run_until_complete(story)
+        result: T = loop.run_until_complete(scenario)
         return result
     finally:
         for task in asyncio.all_tasks(loop):
@@ -43,10 +43,10 @@
         del self._data[size:]
 
     def sync(self) -> None:
-        """Nothing can be lost here."""
+        """Does nothing: memory needs no sync."""
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Does nothing: there are no resources to release."""
 
 
 class MemoryFolder:
@@ -71,56 +71,56 @@
         del self._files[name]
 
     def sync(self) -> None:
-        """Nothing can be lost here."""
+        """Does nothing: memory needs no sync."""
 
 
 class TimedDiskWorker:
-    """A `DiskWorker` whose every piece of work takes the time of one sync."""
+    """A `DiskWorker` that takes `sync_s` for each operation."""
 
     def __init__(self, sync_s: float) -> None:
         self._sync_s = sync_s
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def run(self, work: Callable[[], T]) -> T:
-        async with self._turn:
+        async with self._lock:
             await asyncio.sleep(self._sync_s)
             return work()
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Does nothing: there are no resources to release."""
 
 
 class DelayNetwork:
-    """Calls between addresses with a one-way delay for each pair; what is cut or dead answers nothing."""
+    """Calls between addresses with a one-way delay per pair; dead and partitioned addresses never answer."""
 
     def __init__(self, delay_s: Callable[[str, str], float]) -> None:
         self._delay_s = delay_s
         self.handlers: dict[str, Handlers] = {}
         self.dead: set[str] = set()
-        self.islands: dict[str, int] = {}
+        self.partitions: dict[str, int] = {}
         self.calls: Counter[str] = Counter()
         self.call_bytes = 0
 
-    def reaches(self, sender: str, receiver: str) -> bool:
-        """Whether a message gets from one address to the other."""
-        together = self.islands.get(sender, 0) == self.islands.get(receiver, 0)
-        return together and not {sender, receiver} & self.dead
+    def is_reachable(self, sender: str, receiver: str) -> bool:
+        """Returns whether a message from the sender arrives at the receiver."""
+        same_partition = self.partitions.get(sender, 0) == self.partitions.get(receiver, 0)
+        return same_partition and not {sender, receiver} & self.dead
 
     async def deliver(self, sender: str, receiver: str, request: Any) -> Any:
-        """The receiver's answer, after both ways; never returns if a way is cut."""
+        """Returns the receiver's answer after both delays; never returns if either direction is cut."""
         data = encode(request)
         self.calls[type(request).__name__] += 1
         self.call_bytes += len(data)
-        await self._way(sender, receiver)
+        await self._traverse(sender, receiver)
         answer = await self.handlers[receiver][type(request)](decode(data))
-        back = encode(answer)
-        self.call_bytes += len(back)
-        await self._way(receiver, sender)
-        return decode(back)
+        encoded_answer = encode(answer)
+        self.call_bytes += len(encoded_answer)
+        await self._traverse(receiver, sender)
+        return decode(encoded_answer)
 
-    async def _way(self, sender: str, receiver: str) -> None:
+    async def _traverse(self, sender: str, receiver: str) -> None:
         await asyncio.sleep(self._delay_s(sender, receiver))
-        if not self.reaches(sender, receiver):
+        if not self.is_reachable(sender, receiver):
             await asyncio.Event().wait()
 
 
@@ -133,7 +133,7 @@
 
     async def call(self, address: str, request: Any, timeout_s: float) -> Result[Any, ChannelError]:
         if address not in self._network.handlers:
-            return Err(ChannelError(f"{address}: nobody listens"))
+            return Err(ChannelError(f"{address}: no listener"))
         try:
             async with asyncio.timeout(timeout_s):
                 return Ok(await self._network.deliver(self._address, address, request))
@@ -142,10 +142,10 @@
 
 
 class SilentLog:
-    """An `EventLog` that keeps nothing."""
+    """An `EventLog` that discards all events."""
 
     def info(self, event: str, **fields: Any) -> None:
-        """Dropped."""
+        """Discards the event."""
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Dropped."""
+        """Discards the event."""
