--- a/benchmarks/capacity/system/control_processes.py
+++ b/benchmarks/capacity/system/control_processes.py
@@ -1,4 +1,4 @@
-"""Real control nodes as processes on loopback, and what the kernel says of a process."""
+"""Real control nodes as processes on loopback, and the resource use of processes."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from benchmarks.capacity.system.documents import document_text
 from benchmarks.capacity.system.population import zone_name
 
-NETWORK = "127.20.0"  # every control node has an address of its own in it
+NETWORK = "127.20.0"  # each control node has its own address in it
 CONTROL_PORT = 8_146
 INTERNAL_PORT = 7_660
-STARTED_WITHIN_S = 40.0
+START_TIMEOUT_S = 40.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 KILOBYTE = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUse:
-    """What a process has used: seconds of processor time, and resident bytes now and at its most.
+    """A process's resource use: processor time, and resident bytes now and at the peak.
 
-    `own_s` is the part spent in the program; the rest of `processor_s` is the kernel's work for it.
+    `own_s` is the user time; the rest of `processor_s` is system time.
     """
 
     processor_s: float
@@ -42,7 +42,7 @@
 
 
 def process_use(pid: int) -> ProcessUse:
-    """What the kernel says of a process of this machine."""
+    """Reads the resource use of a process from /proc."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     status = dict(
         line.split(":", 1) for line in Path(f"/proc/{pid}/status").read_text().splitlines() if ":" in line
@@ -56,7 +56,7 @@
 
 
 def settings_text(address: str, number: int, seeds: list[str], role: str, folder: Path, losses: int) -> str:
-    """The settings file of one process; edges get an address for clients, control nodes one for workers."""
+    """Returns the settings file of one process: edges listen for clients, control nodes for workers."""
     zone = zone_name(number)
     serves = "edge" if role == "edge" else "control_plane"
     lines = [
@@ -86,7 +86,7 @@
 
 @dataclass
 class ControlGroup:
-    """Running control nodes."""
+    """A group of running control nodes."""
 
     folder: Path
     addresses: list[str]
@@ -94,22 +94,22 @@
 
     @property
     def seeds(self) -> list[str]:
-        """The control addresses that a settings file names."""
+        """The control addresses for a settings file."""
         return [f"{address}:{CONTROL_PORT}" for address in self.addresses[:3]]
 
     def uses(self) -> list[ProcessUse]:
-        """What each control node has used."""
+        """Returns the resource use of each control node."""
         return [process_use(process.pid) for process in self.processes]
 
     def elections(self) -> int:
-        """How often a member began to lead or ceased to, by the logs: a sign of an overloaded machine."""
+        """Counts the primaries' starts and ends in the logs; many of them indicate an overloaded machine."""
         texts = [path.read_text(errors="replace") for path in self.folder.glob("control-*.log")]
         return sum(text.count("event=election.won") + text.count("event=primary.ended") for text in texts)
 
     def put_configuration(self, text: bytes, if_match: int) -> None:
-        """Send the operator's configuration until a node takes it."""
-        ends = time.monotonic() + STARTED_WITHIN_S
-        while time.monotonic() < ends:
+        """Sends the operators' configuration until a node accepts it; raises TimeoutError."""
+        deadline_s = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             for address in self.addresses:
                 request = urllib.request.Request(
                     f"http://{address}:{CONTROL_PORT}/configuration",
@@ -121,11 +121,11 @@
                     if answer.status == 200:
                         return
             time.sleep(0.2)
-        raise TimeoutError("no control node took the configuration")
+        raise TimeoutError("no control node accepted the configuration")
 
 
 def start_process(module: str, settings: Path, log: Path) -> subprocess.Popen[bytes]:
-    """One program of the system with its settings file."""
+    """Starts one program of the system with its settings file."""
     environment = {**os.environ, "ARROWFOLD_NODE_FILE": str(settings)}
     with log.open("wb") as output:
         return subprocess.Popen(
@@ -137,7 +137,7 @@
 def control_group(
     members: int = target.CONTROL_MACHINES, routes: int = target.ROUTES
 ) -> Iterator[ControlGroup]:
-    """So many control nodes with a configuration in force; they end with the block."""
+    """Runs so many control nodes with a configuration in force; kills them at the end of the block."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         group = ControlGroup(folder, [f"{NETWORK}.{number + 1}" for number in range(members)])
--- a/benchmarks/capacity/system/failover.py
+++ b/benchmarks/capacity/system/failover.py
@@ -96,7 +96,7 @@
         return None
 
     async def _until(self, reached: Callable[[], bool]) -> float:
-        """Waits for a condition, up to `WAIT_TIMEOUT_S`; returns the seconds and counts timeouts in `stuck`."""
+        """Waits for a condition, up to `WAIT_TIMEOUT_S`; returns the seconds. `stuck` counts timeouts."""
         clock = asyncio.get_running_loop().time
         started = clock()
         while not reached():
--- a/benchmarks/capacity/system/hollow_edges.py
+++ b/benchmarks/capacity/system/hollow_edges.py
@@ -1,6 +1,6 @@
-"""Hollow edges: the program's own pulls and tables, many in one process, without fronts and requests.
+"""Simulated edges: the program's own pulls and tables, many in one process, without serving requests.
 
-Edges may begin with the tables of the first one, which are immutable, so that hundreds can share a process.
+Edges may start with the first one's tables, which are immutable, so that hundreds can share a process.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 
 BYTES_ACKED_AT = 120  # in the kernel's `tcp_info`: bytes_acked, then bytes_received
 TCP_INFO_BYTES = 136
-LOOK_S = 0.05
-CLASSES_A_REPORT = 2
-REPORT_S = 1.0
+CHECK_INTERVAL_S = 0.05
+CLASSES_PER_REPORT = 2
+REPORT_TIMEOUT_S = 1.0
 
 
 def connection_bytes(client: ChannelClient) -> tuple[int, int]:
-    """Bytes sent and received on the connections that are open, headers of packets apart."""
+    """Returns the bytes sent and received on open connections, without packet headers."""
     sent = received = 0
     for connection in client._connections.values():
         endpoint = connection.writer.get_extra_info("socket")
         if endpoint is None or connection.closed:
             continue
         info = endpoint.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
-        acked, got = struct.unpack_from("QQ", info, BYTES_ACKED_AT)
-        sent, received = sent + acked, received + got
+        acked, arrived = struct.unpack_from("QQ", info, BYTES_ACKED_AT)
+        sent, received = sent + acked, received + arrived
     return sent, received
 
 
-class HollowEdge:
-    """One edge's pulls and tables."""
+class SimulatedEdge:
+    """One edge's pulls and tables, without its listeners."""
 
     def __init__(self, number: int, seeds: tuple[str, ...]) -> None:
         self.number = number
@@ -54,11 +54,11 @@
         self.client = ChannelClient()
         self.puller: ControlPuller | None = None
 
-    def start(self, like: HollowEdge | None) -> None:
-        """Begin to pull, with nothing or with what another edge holds."""
-        if like is not None:
-            self.tables.snapshot = like.tables.snapshot
-            self.tables.vector = dict(like.tables.vector)
+    def start(self, template: SimulatedEdge | None) -> None:
+        """Starts pulling, with empty tables or with the tables of another edge."""
+        if template is not None:
+            self.tables.snapshot = template.tables.snapshot
+            self.tables.vector = dict(template.tables.vector)
         log = RateLimitedLog(f"hollow-{self.number}")
         identity = edge_identity(self.number)
         self.puller = ControlPuller(self.client, self.tables, identity, self._seeds, self._changed, log)
@@ -68,17 +68,19 @@
         self.changes += 1
 
     async def report_demand(self) -> None:
-        """Tell the owner of the placement about a few classes, as often as an edge does."""
+        """Reports demand for a few classes to the placement owner, at the interval of a real edge."""
         draw = random.Random(self.number)
         while True:
             await asyncio.sleep(target.REPORT_INTERVAL_S)
             view = self.tables.snapshot.view
             address = owner_address(view, SERVICE) if view is not None else None
             if address is not None:
-                await self.client.call(address, demand_report(self.number, CLASSES_A_REPORT, draw), REPORT_S)
+                await self.client.call(
+                    address, demand_report(self.number, CLASSES_PER_REPORT, draw), REPORT_TIMEOUT_S
+                )
 
     def stop(self) -> None:
-        """End all pulls and forget all tables."""
+        """Stops all pulls and discards the tables."""
         assert self.puller is not None
         self.puller.stop()
         self.client.close()
@@ -86,21 +88,21 @@
         self.tables = FleetTables()
 
     def knows(self, workers: int) -> bool:
-        """Whether a configuration and so many workers are known."""
+        """Returns whether a configuration and so many workers are known."""
         snapshot = self.tables.snapshot
         return snapshot.configuration is not None and len(snapshot.workers) >= workers
 
 
-class HollowEdges:
-    """All hollow edges of this process."""
+class SimulatedEdges:
+    """All simulated edges of this process."""
 
     def __init__(self, first: int, count: int, seeds: list[str], workers: int) -> None:
-        self._edges = [HollowEdge(first + number, tuple(seeds)) for number in range(count)]
+        self._edges = [SimulatedEdge(first + number, tuple(seeds)) for number in range(count)]
         self._workers = workers
         self._reporting: list[asyncio.Task[None]] = []
 
     async def handle(self, command: str) -> Answer:
-        """`start`, `restart` (with empty tables, all at once), `demand` (begin to report) or `figures`."""
+        """Handles `start`, `restart` (all at once, with empty tables), `demand` (reports) or `figures`."""
         if command == "start":
             await self._start()
         elif command == "restart":
@@ -113,7 +115,7 @@
         first = self._edges[0]
         first.start(None)
         while not first.knows(self._workers):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
         for edge in self._edges[1:]:
             edge.start(first)
             await asyncio.sleep(0.003)
@@ -126,7 +128,7 @@
         for edge in self._edges:
             edge.start(None)
         while not all(edge.knows(self._workers) for edge in self._edges):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if loop.time() - started > 60.0:
                 break
         return loop.time() - started
@@ -146,7 +148,7 @@
 
 
 async def _run(arguments: dict[str, Any]) -> None:
-    await serve_commands(HollowEdges(**arguments).handle)
+    await serve_commands(SimulatedEdges(**arguments).handle)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/system/hollow_processes.py
+++ b/benchmarks/capacity/system/hollow_processes.py
@@ -1,4 +1,4 @@
-"""Children that hold hollow edges or workers: the parent writes a command a line and reads JSON back."""
+"""Child processes with simulated edges or workers: the parent writes command lines and reads JSON answers."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 Answer = dict[str, Any]
 
 
-class HollowProcess:
-    """The parent's end of one child."""
+class ChildProcess:
+    """The parent's side of one child process."""
 
     def __init__(self, module: str, **arguments: Any) -> None:
         self._process = subprocess.Popen(
@@ -30,37 +30,37 @@
 
     @property
     def pid(self) -> int:
-        """The child's process."""
+        """The child's process id."""
         return self._process.pid
 
     def send(self, command: str) -> None:
-        """Give a command without waiting."""
+        """Sends a command without waiting for the answer."""
         assert self._process.stdin is not None
         self._process.stdin.write(command + "\n")
         self._process.stdin.flush()
 
     def read(self) -> Answer:
-        """The answer to the oldest command not yet answered."""
+        """Reads the answer to the oldest unanswered command; raises RuntimeError if the child has ended."""
         assert self._process.stdout is not None
         line = self._process.stdout.readline()
         if not line:
-            raise RuntimeError("a hollow process has ended")
+            raise RuntimeError("a child process has ended")
         answer: Answer = json.loads(line)
         return answer
 
     def ask(self, command: str) -> Answer:
-        """Give a command and wait for its answer."""
+        """Sends a command and waits for its answer."""
         self.send(command)
         return self.read()
 
     def close(self) -> None:
-        """End the child."""
+        """Kills the child."""
         self._process.kill()
         self._process.wait()
 
 
 async def serve_commands(handle: Callable[[str], Awaitable[Answer]]) -> None:
-    """The child's end: answer commands on standard input until it is closed."""
+    """The child's side: answers commands on standard input until it is closed."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/benchmarks/capacity/system/hollow_workers.py
+++ b/benchmarks/capacity/system/hollow_workers.py
@@ -1,4 +1,4 @@
-"""Hollow workers, many in one process: heartbeats to control nodes, reports and orders, but no work."""
+"""Simulated workers, many in one process: heartbeats, load reports and orders, but no requests."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from benchmarks.capacity.system.hollow_processes import Answer, serve_commands
 from benchmarks.capacity.system.population import registration_body, worker_record
 
-ANSWER_S = 1.0
+ANSWER_TIMEOUT_S = 1.0
 
 
-class HollowWorker:
-    """One worker: it calls one control node, and the next one after a failure."""
+class SimulatedWorker:
+    """One worker, which calls one control node and switches to the next one after a failure."""
 
     def __init__(self, record: WorkerRecord, addresses: list[str], draw: random.Random) -> None:
         self.record = record
         self._addresses = addresses
         self._draw = draw
-        self._at = draw.randrange(len(addresses))
+        self._address_index = draw.randrange(len(addresses))
         self._stream: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         self.acknowledged = self.failed = self.sent_bytes = self.orders = 0
 
     async def run(self, first_s: float) -> None:
-        """Send heartbeats until cancelled."""
+        """Sends heartbeats until cancelled."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(first_s)
         while True:
@@ -38,7 +38,7 @@
             await asyncio.sleep(max(0.0, started + target.HEARTBEAT_S - loop.time()))
 
     async def heartbeat(self) -> None:
-        """One call; a failure moves on to the next control node."""
+        """Sends one heartbeat; after a failure the next one goes to another control node."""
         self.record = replace(self.record, call_sequence=self.record.call_sequence + 1)
         body = registration_body(self.record)
         head = (
@@ -46,18 +46,18 @@
             f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 self.acknowledged += await self._call(head.encode() + body)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             self.failed += 1
-            self._at = (self._at + 1) % len(self._addresses)
+            self._address_index = (self._address_index + 1) % len(self._addresses)
             if self._stream is not None:
                 self._stream[1].transport.abort()
             self._stream = None
 
     async def _call(self, request: bytes) -> int:
         if self._stream is None:
-            host, port = self._addresses[self._at].rsplit(":", 1)
+            host, port = self._addresses[self._address_index].rsplit(":", 1)
             self._stream = await asyncio.open_connection(host, int(port))
         reader, writer = self._stream
         writer.write(request)
@@ -67,11 +67,11 @@
         return int(head.startswith(b"HTTP/1.1 200"))
 
     def change(self) -> None:
-        """Tell another software version from the next heartbeat on: news that no part acts on."""
+        """Changes the software version from the next heartbeat on, an update without any effect."""
         self.record = replace(self.record, version=f"v{self._draw.getrandbits(30)}")
 
     async def listen(self) -> None:
-        """Answer reports and orders at the worker's own address."""
+        """Serves load reports and orders at the worker's address."""
         host, port = self.record.address.rsplit(":", 1)
         await asyncio.start_server(self._serve, host, int(port))
 
@@ -104,8 +104,8 @@
         elif order["operation"] == "load" and adapter:
             held[name] = replace(held[name], adapters=(*held[name].adapters, adapter))
         elif adapter and name in held:
-            kept = tuple(other for other in held[name].adapters if other != adapter)
-            held[name] = replace(held[name], adapters=kept)
+            remaining = tuple(other for other in held[name].adapters if other != adapter)
+            held[name] = replace(held[name], adapters=remaining)
         elif order["operation"] == "unload":
             held.pop(name, None)
         self.record = replace(self.record, models=tuple(held.values()))
@@ -123,20 +123,20 @@
     return 0
 
 
-class HollowWorkers:
-    """All hollow workers of this process; some tell a change each second."""
+class SimulatedWorkers:
+    """All simulated workers of this process; `changes_per_s` of them change their record."""
 
     def __init__(self, first: int, count: int, addresses: list[str], seed: int, changes_per_s: float) -> None:
         draw = random.Random(seed * 100_003 + first)
         self._draw = draw
         self._changes_per_s = changes_per_s
         self._workers = [
-            HollowWorker(worker_record(first + number, draw), addresses, draw) for number in range(count)
+            SimulatedWorker(worker_record(first + number, draw), addresses, draw) for number in range(count)
         ]
         self._tasks: list[asyncio.Task[None]] = []
 
     async def handle(self, command: str) -> Answer:
-        """`start`, `change` (begin to tell changes) or `figures`."""
+        """Handles `start`, `change` (start changing records) or `figures`."""
         if command == "start":
             for worker in self._workers:
                 await worker.listen()
@@ -160,7 +160,7 @@
 
 
 async def _run(arguments: dict[str, Any]) -> None:
-    await serve_commands(HollowWorkers(**arguments).handle)
+    await serve_commands(SimulatedWorkers(**arguments).handle)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity/system/mechanisms.py
+++ b/benchmarks/capacity/system/mechanisms.py
@@ -1,4 +1,4 @@
-"""What breaks first as the size grows, and the mechanisms that are missing, in the order to build them."""
+"""Tables of the costs that reach their bounds first, and of missing mechanisms in the order to build them."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
     BOUNDED,
     FACTORS,
     LARGEST_FACTOR,
-    PULL_PATIENCE_S,
+    PULL_TIMEOUT_S,
     Bounded,
     Scaled,
 )
 
 FEW_PULLED = 2  # control nodes that an edge would pull from
-GATHER_S = 0.1  # how long news would be gathered before edges are told
-STEPS_A_SECOND = 4  # of an owner that plans at a bounded rate
+BATCHING_S = 0.1  # time over which updates would be batched before they are sent to edges
+STEPS_A_SECOND = 4  # of a placement owner that plans at a bounded rate
 
 
 def breaks(results: Results) -> str:
-    """Each cost that has a bound, at once to ten times the operators' size, the first to break first."""
+    """Makes the table of bounded costs at one to ten times the operators' size, lowest factor first."""
     found = [_break_row(cost, results) for cost in BOUNDED]
     found.sort(key=lambda row: row[0])
     head = ["cost", "where", "bound", *(f"at {factor} times" for factor in FACTORS), "bound met at"]
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """A mechanism that is missing: its standard name, the cost of not having it, and what would be left."""
+    """A missing mechanism: its standard name, the cost without it, and the cost with it."""
 
     name: str
     without: Cell
@@ -68,7 +68,7 @@
 
 
 def _caching_now(at: Scaled) -> str:
-    patience = f"an edge waits {number(PULL_PATIENCE_S)} s for a pull"
+    patience = f"an edge waits {number(PULL_TIMEOUT_S)} s for a pull"
     return f"{number(at.mass_restart_s())} s of each control node after a mass restart; {patience}"
 
 
@@ -82,7 +82,7 @@
 
 
 def _fan_out_then(at: Scaled) -> str:
-    wakes = min(at.news_a_second, 1 / GATHER_S)
+    wakes = min(at.news_a_second, 1 / BATCHING_S)
     bare = at.lines.at(Label.REQUEST_BYTES, 0)
     record = at.lines.at(Label.RECORD_BYTES, target.ADAPTERS_PER_WORKER)
     updates = wakes * bare + at.news_a_second * record
@@ -150,7 +150,7 @@
     ),
     Mechanism(
         f"partial fan-out: {FEW_PULLED} control nodes an edge by rendezvous hashing, news gathered for "
-        f"{GATHER_S} s, view and vector only where they changed",
+        f"{BATCHING_S} s, view and vector only where they changed",
         _fan_out_now,
         _fan_out_then,
         "`dataplane/puller.py`, `controlplane/distribution.py`",
@@ -184,7 +184,7 @@
 
 
 def mechanisms(results: Results) -> str:
-    """What is missing, the first to be built first."""
+    """Makes the table of missing mechanisms, the first to build first."""
     at = scaled(results)
     lines = [
         [str(rank), item.name, say(item.without, at), say(item.with_it, at), item.place]
--- a/benchmarks/capacity/system/placements.py
+++ b/benchmarks/capacity/system/placements.py
@@ -1,4 +1,4 @@
-"""The owner of a service's placement: steps of its plan, demand reports, memory, by workers and models."""
+"""Costs of a service's placement owner by workers and models: planning steps, demand reports, memory."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 OVERAGE = 1.1
 RUN_S = 4.0
 LEAST_LOAD_RATE_S = target.LOADS_PER_HOUR / 3_600
-ASKED_SHARE = 0.1  # of the classes, that get requests
+ASKED_SHARE = 0.1  # share of the classes that get requests
 
 
 def model_catalogue(models: int) -> ModelCatalogue:
-    """The catalogue of the service in a configuration of so many models."""
+    """Returns the service's catalogue from a configuration of so many models."""
     document = read_object(document_text(models, target.ADAPTERS, 1)).ok()
     assert document is not None
     found = catalogue_of(document["services"][0])
@@ -41,23 +41,23 @@
 
 
 def demand_report(edge: int, classes: int, draw: random.Random) -> DemandReport:
-    """What one edge saw in half a second: so many classes, a request each."""
-    most = target.ADAPTERS // target.MODELS
-    seen = tuple(
+    """Draws one edge's report of half a second, with one request for each of so many classes."""
+    adapters_per_model = target.ADAPTERS // target.MODELS
+    demand = tuple(
         ClassDemand(
             SERVICE,
             model_name(draw.randrange(target.MODELS)),
-            adapter_name(draw.randint(1, most)),
+            adapter_name(draw.randint(1, adapters_per_model)),
             1.0,
             RUN_S,
         )
         for _ in range(classes)
     )
-    return DemandReport(edge_identity(edge), target.REPORT_INTERVAL_S, seen)
+    return DemandReport(edge_identity(edge), target.REPORT_INTERVAL_S, demand)
 
 
 def settled_placer(records: list[WorkerRecord], now_s: float) -> ServicePlacer:
-    """An owner that has read every worker's report and knows no demand."""
+    """Returns an owner that has processed every worker's report and has no demand."""
     ceiling = LoadCeiling(LEAST_LOAD_RATE_S, WINDOW_S, OVERAGE, now_s - 60.0)
     placer = ServicePlacer(model_catalogue(target.MODELS), ceiling)
     placer.apply_workers(records, now_s)
@@ -66,14 +66,14 @@
     return placer
 
 
-def _asked(placer: ServicePlacer, draw: random.Random, now_s: float) -> None:
-    """Reports of some seconds from all edges, with an edge's share of the requests in each."""
+def _apply_demand(placer: ServicePlacer, draw: random.Random, now_s: float) -> None:
+    """Applies one demand report from each edge, with the edge's share of the requests."""
     for edge in range(target.NODES):
         placer.apply_demand(demand_report(edge, 2, draw), now_s)
 
 
 def quiet_plan(workers: int, seed: int) -> Figures:
-    """What each step does without demand: the list of workers, and a plan with nothing to do."""
+    """Measures the steps without demand: applying the list of workers, and a plan with nothing to do."""
     records = worker_records(workers, seed)
     placer = settled_placer(records, 100.0)
     return {
@@ -85,10 +85,10 @@
 
 
 def busy_plan(workers: int, seed: int) -> Figures:
-    """Two steps of the plan with demand for many classes, most of which stand nowhere."""
+    """Measures two planning steps with demand for many classes, most of which are loaded nowhere."""
     records = worker_records(workers, seed)
     placer = settled_placer(records, 100.0)
-    _asked(placer, random.Random(seed), 100.0)
+    _apply_demand(placer, random.Random(seed), 100.0)
     started = time.process_time()
     placer.actions(100.1)
     first_s = time.process_time() - started
@@ -101,7 +101,7 @@
 
 
 def reports(classes: int, seed: int) -> Figures:
-    """One edge's demand report with so many classes."""
+    """Measures one edge's demand report with so many classes."""
     draw = random.Random(seed)
     report = demand_report(1, classes, draw)
     encoded = encode(report)
--- a/benchmarks/capacity/system/pulls.py
+++ b/benchmarks/capacity/system/pulls.py
@@ -1,4 +1,4 @@
-"""Pulls between edges and control nodes: the codec, one change to many edges, the tables of an edge."""
+"""Costs of pulls between edges and control nodes: codec, one change to many edges, an edge's tables."""
 
 from __future__ import annotations
 
@@ -40,21 +40,21 @@
 )
 from benchmarks.capacity.system.registries import filled_registry
 
-FRAME_BYTES = 4 + 6  # a frame's length, and its head around the body
-EDGE_LIFE_S = 3_600.0
-APART = 10  # changes that come one by one
-BURST = 20  # changes that come at once
+FRAME_BYTES = 4 + 6  # the frame's length field, and its header
+EDGE_EXPIRY_S = 3_600.0
+SEQUENTIAL_CHANGES = 10  # changes made one after the other
+BURST = 20  # changes made at once
 
 
 def rest_bytes(origins: int) -> int:
-    """Bytes of one pull without news, both ways, without the frames."""
+    """Returns the bytes of one pull without updates, in both directions, without framing."""
     request = PullRequest(edge_identity(7), vector(origins), target.EDGE_PULL_S)
     response = PullResponse(True, cluster_view(target.CONTROL_MACHINES, target.NODES), vector(origins))
     return len(encode(request)) + len(encode(response))
 
 
 def pull(origins: int, seed: int) -> Figures:
-    """One pull at rest and its answer, by the length of the version vector."""
+    """Measures one pull without updates, by the length of the version vector."""
     del seed
     request = PullRequest(edge_identity(7), vector(origins), target.EDGE_PULL_S)
     response = PullResponse(True, cluster_view(target.CONTROL_MACHINES, target.NODES), vector(origins))
@@ -75,7 +75,7 @@
 
 
 class FixedReplica:
-    """A member whose committed state the test sets."""
+    """A member with a fixed committed state, which is always the primary."""
 
     def __init__(self, members: int) -> None:
         self.committed = ControlState(sequence=1_500)
@@ -84,27 +84,27 @@
         self._members = cluster_view(members, 0).members
 
     def members(self) -> tuple[MemberInfo, ...]:
-        """The whole group."""
+        """Returns the whole group."""
         return self._members
 
     def primary(self) -> MemberInfo | None:
-        """The first member."""
+        """Returns the first member."""
         return self._members[0]
 
     def is_primary(self) -> bool:
-        """It is."""
+        """Returns True."""
         return True
 
     def is_current(self) -> bool:
-        """It is."""
+        """Returns True."""
         return True
 
     def state_age_s(self) -> float | None:
-        """All that was acknowledged up to now."""
+        """Returns 0: the state is current."""
         return 0.0
 
     async def propose(self, decide: Decide[AnswerT]) -> Result[AnswerT, ReplicationFault]:
-        """Not used here."""
+        """Raises NotImplementedError, since the benchmarks propose nothing."""
         raise NotImplementedError
 
 
@@ -115,9 +115,12 @@
 async def answer_all(
     edges: int, records: list[WorkerRecord], changes: int, together: bool, notice_only: bool = False
 ) -> Figures:
-    """Changes at one control node, and the answers to all edges; `notice_only`: without updates."""
+    """Makes changes at one control node and answers all edges.
+
+    With `together` all changes come at once; with `notice_only` the answers carry no updates.
+    """
     registry = filled_registry(records)
-    presence = EdgePresence(time.monotonic, EDGE_LIFE_S)
+    presence = EdgePresence(time.monotonic, EDGE_EXPIRY_S)
     replica: ReplicaPort = FixedReplica(target.CONTROL_MACHINES)
     notices = PlacementNotices(lambda: None, time.monotonic)
     distributor = Distributor(replica, registry, presence, lambda: (), notices)
@@ -159,18 +162,18 @@
 
 
 async def _settle() -> None:
-    """Wait until what changed is answered: an edge may have had its last answer just before."""
+    """Waits until all changes are answered; an answer may be delayed by the spacing after the last one."""
     await asyncio.sleep(LONGEST_SPACING_S)
     for _ in range(6):
         await asyncio.sleep(0)
 
 
 def distribution(edges: int, workers: int, seed: int) -> Figures:
-    """A worker's news to so many edges that wait in pulls at one control node: one by one, then at once."""
+    """Measures worker updates to edges with pending pulls at one control node: sequential, then at once."""
     records = worker_records(workers, seed)
-    apart = asyncio.run(answer_all(edges, records, APART, together=False))
+    apart = asyncio.run(answer_all(edges, records, SEQUENTIAL_CHANGES, together=False))
     burst = asyncio.run(answer_all(edges, records, BURST, together=True))
-    notices = asyncio.run(answer_all(edges, records, APART, together=False, notice_only=True))
+    notices = asyncio.run(answer_all(edges, records, SEQUENTIAL_CHANGES, together=False, notice_only=True))
     return {
         **apart,
         "notice_ms": notices["change_ms"],
@@ -181,6 +184,7 @@
 
 
 def first_answer(records: list[WorkerRecord]) -> PullResponse:
+    """Returns the answer to an edge without any state: the configuration and all workers."""
     registry = filled_registry(records)
     document = document_text(target.MODELS, target.ADAPTERS, target.ROUTES)
     counters = {**registry.vector(), STATE_ORIGIN: 1}
@@ -190,7 +194,7 @@
 
 
 def edge_tables(workers: int, seed: int) -> Figures:
-    """An edge's tables of so many workers: the first answer, an answer without news, one change, memory."""
+    """Measures an edge's tables: the first answer, an answer without updates, one change, memory."""
     records = worker_records(workers, seed)
     first = first_answer(records)
     encoded = encode(first)
--- a/benchmarks/capacity/system/role_table.py
+++ b/benchmarks/capacity/system/role_table.py
@@ -1,4 +1,4 @@
-"""The table of roles: state and messages of each at the operators' size, worked out."""
+"""The table of roles: extrapolated state and messages of each at the operators' size."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Role:
-    """A row: what the role holds, and what it does in each situation."""
+    """One row: the role's state, and its messages in each situation."""
 
     name: str
     state: Cell
@@ -33,7 +33,7 @@
     apart: Cell
 
     def cells(self) -> tuple[Cell, ...]:
-        """All cells, in the order of the table's head."""
+        """Returns all cells in the order of the table's header."""
         return (self.state, self.rest, self.peak, self.mass_restart, self.zone, self.apart)
 
 
@@ -253,7 +253,7 @@
 
 
 def roles(results: Results) -> str:
-    """What each role has and does at the operators' size."""
+    """Makes the table of all roles at the operators' size."""
     at = scaled(results)
     head = [
         "role",
--- a/benchmarks/capacity/system/selection.py
+++ b/benchmarks/capacity/system/selection.py
@@ -1,4 +1,4 @@
-"""The selection of one edge by workers and by classes: choices, rounds of the market, memory."""
+"""Costs of worker selection at one edge by workers and classes: choices, market rounds, memory."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 )
 from benchmarks.capacity.system.population import SERVICE, worker_records, zone_name
 
-RUN_S = 4.0  # of a request
+RUN_S = 4.0  # run time of a request
 SHARED_TOKENS = 6_300
 OWN_TOKENS = 2_890
 OUTPUT_TOKENS = int(target.TOKENS_PER_S / target.REQUESTS_PER_S)
-ROUND_EVERY_S = target.REPORT_INTERVAL_S
+ROUND_INTERVAL_S = target.REPORT_INTERVAL_S
 EDGE_RATE_S = target.REQUESTS_PER_S / target.NODES
-RANK_POWER = 1.0  # a class's share falls with its rank to this power
+RANK_POWER = 1.0  # exponent of the power law of class shares by rank
 
 
 class ClassDraw:
-    """Draws the class of a request: a few classes get most of them."""
+    """Draws the class of a request; a few classes get most of the requests."""
 
     def __init__(self, records: list[WorkerRecord], classes: int, draw: random.Random) -> None:
         held = sorted(
@@ -46,13 +46,13 @@
         self._weights = [1 / (rank + 1) ** RANK_POWER for rank in range(len(self.classes))]
         self._draw = draw
 
-    def one(self) -> tuple[str, str]:
-        """A model and an adapter of it, which may be empty."""
+    def draw_class(self) -> tuple[str, str]:
+        """Draws a model and one of its adapters, which may be empty."""
         return self._draw.choices(self.classes, self._weights)[0]
 
 
 def request_profile(number: int, model: str, adapter: str, now_s: float) -> RequestProfile:
-    """A request with a shared prompt part of its class and one of its own."""
+    """Makes a request with a prompt part shared by its class and one of its own."""
     parts = (PromptPart(f"shared-{model}", SHARED_TOKENS), PromptPart(f"own-{number}", OWN_TOKENS))
     return RequestProfile(
         request=f"q{number}",
@@ -73,8 +73,8 @@
     )
 
 
-class PlayedEdge:
-    """A selector that gets requests at a rate, in its own time."""
+class SelectorSimulation:
+    """A selector that receives simulated requests, in virtual time."""
 
     def __init__(self, records: list[WorkerRecord], classes: int, seed: int) -> None:
         self.selector = MarketSelector(zone_name(0), seed)
@@ -84,19 +84,19 @@
         self.now_s = 0.0
         self._number = 0
         self._running: list[tuple[float, RequestProfile, str]] = []
-        self.round_s = ROUND_EVERY_S
+        self.round_s = ROUND_INTERVAL_S
 
     def request(self, gap_s: float) -> None:
-        """One request after a gap; those that are over end before it, and rounds come in between."""
+        """Adds one request after a gap; first processes the requests' ends and market rounds due by then."""
         self.now_s += gap_s
         while self._running and self._running[0][0] <= self.now_s:
             _, ended, instance = self._running.pop(0)
             self.selector.ended(ended, instance, Outcome.SUCCEEDED, self.now_s)
         while self.round_s <= self.now_s:
             self.selector.market_round(self.round_s)
-            self.round_s += ROUND_EVERY_S
+            self.round_s += ROUND_INTERVAL_S
         self._number += 1
-        profile = request_profile(self._number, *self.draw.one(), self.now_s)
+        profile = request_profile(self._number, *self.draw.draw_class(), self.now_s)
         choice = self.selector.choose(profile, (), self.now_s)
         if isinstance(choice, ChosenWorker):
             self.selector.sent(profile, choice.instance, self.now_s)
@@ -104,28 +104,28 @@
             self._running.append((self.now_s + RUN_S, profile, choice.instance))
 
     def play(self, length_s: float, rate_s: float) -> None:
-        """Requests at an even rate."""
+        """Adds requests at a constant rate for `length_s`."""
         for _ in range(int(length_s * rate_s)):
             self.request(1.0 / rate_s)
 
     @property
     def tokens(self) -> int:
-        """Tokens of all classes."""
+        """The number of market tokens of all classes."""
         return sum(len(table.tokens) for table in self.selector.market.tables.values())
 
 
-def _without_rounds_s(edge: PlayedEdge, rate_s: float) -> float:
-    """Processor seconds of a request at this rate, its end included, rounds of the market apart."""
+def _without_rounds_s(edge: SelectorSimulation, rate_s: float) -> float:
+    """Returns the processor seconds of a request with its end, without market rounds."""
     edge.round_s = float("inf")
     used_s = processor_s(lambda: edge.request(1 / rate_s))
-    edge.round_s = edge.now_s + ROUND_EVERY_S
+    edge.round_s = edge.now_s + ROUND_INTERVAL_S
     return used_s
 
 
 def selection(workers: int, classes: int, seed: int) -> Figures:
-    """An edge's share of the requests for a minute over so many classes, then single costs."""
+    """Measures single costs after a minute of one edge's share of the requests over so many classes."""
     records = worker_records(workers, seed)
-    edge = PlayedEdge(records, classes, seed)
+    edge = SelectorSimulation(records, classes, seed)
     edge.play(60.0, EDGE_RATE_S)
     active, tokens = len(edge.selector.market.tables), edge.tokens
     changed = replace(records[0], models=records[-1].models, call_sequence=2)
@@ -138,12 +138,12 @@
     def apply_same() -> None:
         edge.selector.apply_workers(lists[0], edge.now_s)
 
-    def first() -> object:
+    def prepare_first() -> object:
         fresh = MarketSelector(zone_name(0), seed)
         return lambda: fresh.apply_workers(lists[0], 0.0)
 
-    def played() -> PlayedEdge:
-        other = PlayedEdge(records, classes, seed)
+    def edge_after_requests() -> SelectorSimulation:
+        other = SelectorSimulation(records, classes, seed)
         other.play(10.0, EDGE_RATE_S)
         return other
 
@@ -152,17 +152,17 @@
         "tokens": float(tokens),
         "request_us": _without_rounds_s(edge, EDGE_RATE_S) / MICROSECOND,
         "round_ms": processor_s(lambda: edge.selector.market_round(edge.now_s)) / MILLISECOND,
-        "apply_first_ms": processor_once_s(first) / MILLISECOND,  # type: ignore[arg-type]
+        "apply_first_ms": processor_once_s(prepare_first) / MILLISECOND,  # type: ignore[arg-type]
         "apply_change_ms": processor_s(apply_change) / MILLISECOND,
         "apply_same_ms": processor_s(apply_same) / MILLISECOND,
-        "megabytes": held_bytes(played) / MEGABYTE,
+        "megabytes": held_bytes(edge_after_requests) / MEGABYTE,
     }
 
 
 def busy_selection(workers: int, rate: float, seed: int) -> Figures:
-    """Choices with so many requests a second at one edge, all classes that workers hold in use."""
+    """Measures choices with `rate` requests a second at one edge, over all classes that workers hold."""
     records = worker_records(workers, seed)
-    edge = PlayedEdge(records, target.CLASSES, seed)
+    edge = SelectorSimulation(records, target.CLASSES, seed)
     edge.play(max(10.0, 600 / rate), rate)
     return {
         "active_classes": float(len(edge.selector.market.tables)),
--- a/benchmarks/capacity/system/stream_clients.py
+++ b/benchmarks/capacity/system/stream_clients.py
@@ -1,4 +1,4 @@
-"""Streaming workers and clients round a real edge, in one process, so that one clock times every event."""
+"""Streaming workers and clients of a real edge, in one process, so that one clock times every event."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from arrowfold.internal.messages import HeldModel
 from benchmarks.capacity.system import target
 from benchmarks.capacity.system.hollow_processes import Answer, serve_commands
-from benchmarks.capacity.system.hollow_workers import HollowWorker
+from benchmarks.capacity.system.hollow_workers import SimulatedWorker
 from benchmarks.capacity.system.population import model_name, worker_record
 
 STREAM_MODEL = model_name(0xFFFF)
@@ -24,8 +24,8 @@
 DEADLINE_MS = 15_000
 
 
-class StreamWorker(HollowWorker):
-    """A hollow worker that answers requests with events, each of which carries the time it was made."""
+class StreamWorker(SimulatedWorker):
+    """A simulated worker that answers requests with events that carry their creation time."""
 
     events = 1
     gap_s = 0.02
@@ -75,7 +75,7 @@
 
 
 class StreamClients:
-    """Requests at a rate to one edge, and what they saw."""
+    """Clients that send requests at a rate to one edge and record the delays of events."""
 
     def __init__(
         self, edge: str, control: list[str], workers: int, first: int, rate: float, events: int, seed: int
@@ -99,7 +99,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def handle(self, command: str) -> Answer:
-        """`start` (workers), `serve` (begin requests), `reset` (the delays) or `figures`."""
+        """Handles `start` (workers), `serve` (start requests), `reset` (the delays) or `figures`."""
         if command == "start":
             for worker in self._workers:
                 await worker.listen()
@@ -129,17 +129,17 @@
 
     async def _request(self) -> None:
         host, port = self._edge.rsplit(":", 1)
-        whole = False
+        complete = False
         try:
             async with asyncio.timeout(DEADLINE_MS / 1000):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(self._request_head() + BODY)
-                whole = await self._read(reader)
+                complete = await self._read(reader)
                 writer.close()
         except (OSError, asyncio.IncompleteReadError, TimeoutError, ValueError):
-            whole = False  # broken off, or not whole in time
-        self._done += whole
-        self._failed += not whole
+            complete = False  # disconnected, or incomplete at the deadline
+        self._done += complete
+        self._failed += not complete
 
     def _request_head(self) -> bytes:
         usage = f"{PROMPT_TOKENS},{self._events * target.TOKENS_PER_EVENT}"
@@ -169,8 +169,8 @@
         return seen == self._events
 
 
-def _quantile(values: list[float], part: float) -> float:
-    return 1000 * sorted(values)[int(part * (len(values) - 1))] if values else 0.0
+def _quantile(values: list[float], quantile: float) -> float:
+    return 1000 * sorted(values)[int(quantile * (len(values) - 1))] if values else 0.0
 
 
 async def _run(arguments: dict[str, Any]) -> None:
--- a/benchmarks/capacity/system/streams.py
+++ b/benchmarks/capacity/system/streams.py
@@ -18,8 +18,8 @@
     settings_text,
     start_process,
 )
-from benchmarks.capacity.system.fleet import hollow_fleet
-from benchmarks.capacity.system.hollow_processes import HollowProcess
+from benchmarks.capacity.system.fleet import simulated_fleet
+from benchmarks.capacity.system.hollow_processes import ChildProcess
 from benchmarks.capacity.system.measuring import MEGABYTE
 
 EDGE_ADDRESS = "127.20.1.1"
@@ -36,7 +36,7 @@
     """An edge process and its clients."""
 
     pid: int
-    clients: HollowProcess
+    clients: ChildProcess
 
     def use(self) -> ProcessUse:
         """Returns the processor time and memory of the edge."""
@@ -46,9 +46,9 @@
 @contextlib.contextmanager
 def real_edge(workers: int, rate: float, events: int, seed: int) -> Iterator[RealEdge]:
     """Runs an edge with so many workers, of which eight can stream; its clients send no requests yet."""
-    with hollow_fleet(0, workers, 0.0, seed, target.FEW_CONTROL) as fleet, contextlib.ExitStack() as stack:
+    with simulated_fleet(0, workers, 0.0, seed, target.FEW_CONTROL) as fleet, contextlib.ExitStack() as stack:
         group = fleet.group
-        clients = HollowProcess(
+        clients = ChildProcess(
             CLIENT_MODULE,
             edge=f"{EDGE_ADDRESS}:{FRONT_PORT}",
             control=[f"{address}:{CONTROL_PORT}" for address in group.addresses],
--- a/benchmarks/capacity/system/tables.py
+++ b/benchmarks/capacity/system/tables.py
@@ -1,4 +1,4 @@
-"""The tables of what was measured, for docs/CAPACITY.md."""
+"""Tables of measured results for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 Column = tuple[str, str, float]
 PERCENT = 100.0
 KILO = 1e-3
-CARRIED = {
+EXTRAPOLATED_TO = {
     "classes": target.REQUESTS_PER_S / target.NODES * target.REPORT_INTERVAL_S,
     "workers": target.WORKERS,
     "edges": target.NODES,
@@ -26,7 +26,7 @@
 
 
 def rows(results: Results, test: str, sizes: list[str], columns: list[Column], loaded: bool = False) -> str:
-    """A row for each size of a test, in order; `loaded`: with the load of the machine after it."""
+    """Makes a table with a row for each size of a test; `loaded` adds the machine's load after the run."""
     found = sorted(results.of(test), key=lambda row: [float(row.size[size]) for size in sizes])
     head = [*sizes, *(name for name, _, _ in columns), *(["machine's load"] if loaded else [])]
     lines = [
@@ -69,7 +69,7 @@
 
 
 def pulls(results: Results) -> str:
-    """One pull without news."""
+    """One pull without updates."""
     columns: list[Column] = [
         ("request, bytes", "request_bytes", 1),
         ("answer, bytes", "response_bytes", 1),
@@ -80,7 +80,7 @@
 
 
 def distribution(results: Results) -> str:
-    """News of a worker to the edges of one control node."""
+    """Updates of a worker to the edges of one control node."""
     columns: list[Column] = [
         ("one change, ms", "change_ms", 1),
         ("answers", "answers_a_change", 1),
@@ -196,7 +196,7 @@
 
 
 def fleets(results: Results) -> str:
-    """Hollow edges and workers round real control nodes."""
+    """Real control nodes with simulated edges and workers."""
     columns: list[Column] = [
         ("a control node, core %", "control_core_share", PERCENT),
         ("the primary", "control_core_most", PERCENT),
@@ -225,7 +225,7 @@
 
 
 def mass_restart(results: Results) -> str:
-    """All edges begin at once with nothing."""
+    """A restart of all edges at once with empty tables."""
     columns: list[Column] = [
         ("all have the tables, s", "all_s", 1),
         ("a control node's processor, s", "control_s", 1),
@@ -237,7 +237,7 @@
 
 
 def changes(results: Results) -> str:
-    """Changes of configuration, one after the other."""
+    """Sequential changes of the configuration."""
     columns: list[Column] = [
         ("in force at all edges, s", "in_force_s", 1),
         (f"longest of {CHANGES}", "in_force_most_s", 1),
@@ -248,7 +248,7 @@
 
 
 def streams(results: Results) -> str:
-    """A real edge that passes on streams."""
+    """A real edge that forwards streams."""
     columns: list[Column] = [
         ("core, %", "core_share", PERCENT),
         ("without the kernel", "own_share", PERCENT),
@@ -263,7 +263,7 @@
 
 
 def fits(results: Results) -> str:
-    """The lines, with how far each is carried beyond what was measured."""
+    """The fitted lines, and how far each is extrapolated beyond the measured sizes."""
     del results
     lines = [
         [
@@ -273,8 +273,8 @@
             number(line.intercept),
             f"{number(line.slope)} {line.unit}",
             f"{number(line.low)} to {number(line.high)}",
-            f"{number(CARRIED[line.over], 5)}: {number(line.at(CARRIED[line.over]))}",
-            _carried(CARRIED[line.over], line.end),
+            f"{number(EXTRAPOLATED_TO[line.over], 5)}: {number(line.at(EXTRAPOLATED_TO[line.over]))}",
+            _carried(EXTRAPOLATED_TO[line.over], line.end),
         ]
         for line in read_fits(FITS)
     ]
--- a/benchmarks/capacity/system/verdict.py
+++ b/benchmarks/capacity/system/verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on each row of the operators' target: what it needs, what was measured, whether it holds."""
+"""The verdict on each of the operators' targets: what it needs, what was measured, whether it holds."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     say,
     scaled,
 )
-from benchmarks.capacity.system.worked_out import PULL_PATIENCE_S, Scaled
+from benchmarks.capacity.system.worked_out import PULL_TIMEOUT_S, Scaled
 
 HOLDS, FAILS, UNKNOWN = "holds", "**does not**", "not known"
 REQUESTS_AN_EDGE = target.REQUESTS_PER_S / target.NODES
@@ -53,7 +53,7 @@
 
 
 def _restart_verdict(at: Scaled) -> str:
-    return f"at rest holds; a start of all at once {_within(at.mass_restart_s(), PULL_PATIENCE_S)}"
+    return f"at rest holds; a start of all at once {_within(at.mass_restart_s(), PULL_TIMEOUT_S)}"
 
 
 def _serving_core(at: Scaled) -> float:
@@ -207,13 +207,13 @@
 
 
 def _zone_measured(at: Scaled) -> str:
-    back = f"back: {number(at.zone_back_s())} s, an edge waits {number(PULL_PATIENCE_S)} s"
+    back = f"back: {number(at.zone_back_s())} s, an edge waits {number(PULL_TIMEOUT_S)} s"
     return f"lost: {number(at.zone_lost_s())} s of the busiest control node; {back}"
 
 
 def _zone_verdict(at: Scaled) -> str:
     lost = _within(at.zone_lost_s(), target.IN_FORCE_S)
-    return f"lost {lost}; back {_within(at.zone_back_s(), PULL_PATIENCE_S)}"
+    return f"lost {lost}; back {_within(at.zone_back_s(), PULL_TIMEOUT_S)}"
 
 
 def _apart_measured(at: Scaled) -> str:
@@ -341,7 +341,7 @@
 
 
 def verdict(results: Results) -> str:
-    """Each row of the operators' target."""
+    """Makes the table of all targets."""
     at = scaled(results)
     lines = [
         [row.asked, say(row.needed, at), say(row.measured, at), say(row.verdict, at), row.mechanism]
--- a/benchmarks/capacity/system/worked_out.py
+++ b/benchmarks/capacity/system/worked_out.py
@@ -1,6 +1,6 @@
-"""What the measured costs make of the operators' size, and of several times it: all of it worked out.
+"""Extrapolates the measured costs to the operators' size and to multiples of it.
 
-Everything grows by the same factor (nodes, workers, requests, loads, changes) but the machines for control.
+Nodes, workers, requests, loads and changes grow by the same factor; the number of control nodes is fixed.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 MILLI = 1e-3
 MICRO = 1e-6
 PERCENT = 100.0
-RECORDS_A_LOAD = 2  # the heartbeat that tells the load, and the one that tells the unload before it
+RECORDS_PER_LOAD = 2  # the heartbeat that reports the load, and the one that reports the unload before it
 UPDATE_SOURCES = 2  # control nodes that send an edge updates: the nearest, and the owner of a placement
-NOTICES_A_LOAD = 4  # placement updates: two orders, each sent and done
+NOTICES_PER_LOAD = 4  # placement updates: two orders, each sent and completed
 CONTROL_SHARE = target.CONTROL_MACHINES / (target.NODES + target.CONTROL_MACHINES)
-LARGEST_FACTOR = 1_000.0  # beyond this nothing is said
+LARGEST_FACTOR = 1_000.0  # largest factor examined
 SEARCH_STEPS = 40
 
 
@@ -36,24 +36,24 @@
 
     @property
     def edges(self) -> float:
-        """Nodes that take requests."""
+        """Edge nodes."""
         return target.NODES * self.factor
 
     @property
     def workers(self) -> float:
-        """Workers."""
+        """Number of workers."""
         return target.WORKERS * self.factor
 
     @property
     def loads_a_second(self) -> float:
-        """Loads of weights or adapters that are ordered."""
+        """Ordered loads of weights or adapters."""
         return target.LOADS_PER_HOUR / 3_600 * self.factor
 
     @property
     def records_a_second(self) -> float:
-        """Records of workers that are news to everybody."""
+        """Worker records that change and are distributed to all nodes."""
         restarts = target.RESTARTS_PER_DAY * self.factor / target.SECONDS_PER_DAY
-        return self.loads_a_second * RECORDS_A_LOAD + restarts
+        return self.loads_a_second * RECORDS_PER_LOAD + restarts
 
     @property
     def heartbeats_a_second(self) -> float:
@@ -62,11 +62,11 @@
 
     @property
     def origins_a_day(self) -> float:
-        """Lives of control nodes that begin in a day, by their share of all restarts."""
+        """Incarnations of control nodes that start in a day, by their share of all restarts."""
         return target.RESTARTS_PER_DAY * CONTROL_SHARE
 
     def figure(self, test: str, name: str, **size: float | str) -> float:
-        """A measured figure; raises Unmeasured."""
+        """Returns a measured figure. Raises Unmeasured if there is no result."""
         found = self.results.one(test, **size)
         if found is None or name not in found.figures:
             raise Unmeasured(test)
@@ -75,27 +75,27 @@
     # An edge
 
     def pull_bytes(self, origins: float = target.CONTROL_MACHINES) -> float:
-        """One pull without news, both ways; a notice of news is as long."""
+        """Bytes of one pull without updates, in both directions; a notice has the same length."""
         return self.lines.at(Label.REQUEST_BYTES, origins) + self.lines.at(Label.RESPONSE_BYTES, origins)
 
     @property
     def notices_at_rest(self) -> float:
-        """Pulls a second of an edge that ask control nodes for notices, while there is no news."""
+        """Pulls a second of an edge for notices only, while there are no updates."""
         return (target.CONTROL_MACHINES - UPDATE_SOURCES) / (POLL_S + NOTICE_PAUSE_S)
 
     @property
     def pulls_at_rest(self) -> float:
-        """All pulls a second of an edge while there is no news."""
+        """All pulls a second of an edge while there are no updates."""
         return UPDATE_SOURCES / POLL_S + self.notices_at_rest
 
     def edge_bytes_at_rest(self, origins: float = target.CONTROL_MACHINES) -> float:
-        """Bytes a second of an edge's pulls without news: some for updates, the others for notices."""
+        """Bytes a second of an edge's pulls without updates, those for notices included."""
         return self.pulls_at_rest * self.pull_bytes(origins)
 
     @property
     def news_a_second(self) -> float:
-        """Moments a second at which there is something new: records, and notices of the placement."""
-        return self.records_a_second + self.loads_a_second * NOTICES_A_LOAD
+        """Updates a second: worker records, and notices of the placement."""
+        return self.records_a_second + self.loads_a_second * NOTICES_PER_LOAD
 
     @property
     def notices_a_second(self) -> float:
@@ -103,92 +103,92 @@
         return min(self.news_a_second, 1 / NOTICE_PAUSE_S)
 
     def news_bytes(self) -> float:
-        """One worker's news to one edge, with the pull that asks for it."""
+        """Bytes of one worker's update to one edge, with the request of the pull."""
         size = {"edges": target.NODES, "workers": target.WORKERS}
         answer = self.figure("distribution", "bytes_a_change", **size) / target.NODES
         return answer + self.lines.at(Label.REQUEST_BYTES, target.CONTROL_MACHINES)
 
     def edge_bytes(self) -> float:
-        """Bytes a second with the operators' loads: records from each source of updates, and notices."""
+        """Bytes a second of an edge with the operators' loads: records from all sources, and notices."""
         notices = (target.CONTROL_MACHINES - UPDATE_SOURCES) * self.notices_a_second
-        placement = self.loads_a_second * NOTICES_A_LOAD
+        placement = self.loads_a_second * NOTICES_PER_LOAD
         updates = self.records_a_second * UPDATE_SOURCES + placement
         return updates * self.news_bytes() + notices * self.pull_bytes()
 
     def edge_news_core(self) -> float:
-        """Share of a core that an edge spends on news in its tables and its index of holders."""
+        """Share of a core that an edge spends on updates in its tables and its index of holders."""
         index_ms = self.lines.at(Label.SELECT_CHANGE, self.workers)
         tables_ms = self.lines.at(Label.EDGE_CHANGE, self.workers) * MICRO / MILLI
         return self.news_a_second * (index_ms + tables_ms) * MILLI
 
     def edge_state_mb(self) -> float:
-        """Tables and selection of an edge."""
+        """Megabytes of an edge's tables and selection."""
         return self.lines.at(Label.EDGE_MB, self.workers) + self.lines.at(Label.SELECT_MB, self.workers)
 
     # A control node
 
     def zone_lost_s(self) -> float:
-        """Processor seconds of the busiest node for a lost zone: each node tells of its workers at once."""
+        """Processor seconds of the busiest node for a lost zone: all nodes report their workers at once."""
         return target.CONTROL_MACHINES * self.fan_out_ms() * MILLI
 
     def zone_back_s(self) -> float:
-        """Processor seconds until a control node has answered the edges of a zone that begin at once."""
+        """Processor seconds until a control node has answered all edges of a zone that start at once."""
         return self.edges / target.ZONES * self.lines.at(Label.TABLE_ENCODE, self.workers) * MILLI
 
     def fan_out_ms(self) -> float:
-        """Processor time of one worker's news at the owner of a placement, which updates all edges."""
+        """Processor ms of one worker's update at the placement owner, which updates all edges."""
         return self.lines.at(Label.CHANGE_WORKERS, self.workers) / 100 * self.edges
 
     def fan_out_core(self) -> float:
-        """Share of a core that news to edges take at the owner of a placement, the busiest control node."""
+        """Share of a core for updates to edges at the placement owner, the busiest control node."""
         return self.news_a_second * self.fan_out_ms() * MILLI
 
     def notice_core(self) -> float:
-        """Share of a core that notices to all edges take at a control node that updates none."""
+        """Share of a core for notices to all edges at a control node that sends them no updates."""
         return self.notices_a_second * self.lines.at(Label.NOTICE_EDGES, self.edges) * MILLI
 
     def heartbeat_core(self) -> float:
-        """Share of a core that heartbeats take at each control node, HTTP and the kernel's work with it."""
+        """Share of a core for heartbeats at each control node, HTTP and kernel time included."""
         line = self.lines.line(Label.CONTROL_WORKERS)
         measured_with = target.FEW_CONTROL / target.CONTROL_MACHINES
         return (line.at(self.workers) - line.intercept) / PERCENT * measured_with
 
     def pull_core(self) -> float:
-        """Share of a core that pulls without news take at each control node, the kernel's work with it."""
+        """Share of a core for pulls without updates at each control node, kernel time included."""
         line = self.lines.line(Label.CONTROL_EDGES)
         return (line.at(self.edges) - line.intercept) / PERCENT
 
     def owner_step_ms(self) -> float:
-        """One step of the owner of a placement, without any plan to make."""
+        """Processor ms of one step of the placement owner with nothing to plan."""
         parts = (Label.OWNER_APPLY, Label.OWNER_QUIET, Label.OWNER_CORRECTIONS)
         return sum(self.lines.at(label, self.workers) for label in parts)
 
     def reports_a_second(self) -> float:
-        """Demand reports that reach the owner."""
+        """Demand reports a second at the placement owner."""
         return self.edges / target.REPORT_INTERVAL_S
 
     def owner_core(self) -> float:
-        """Share of a core for a step at each report, without a plan; over 1 the steps follow back to back."""
+        """Share of a core for one step per report, with nothing to plan; over 1 the steps are saturated."""
         return self.reports_a_second() * self.owner_step_ms() * MILLI
 
     def mass_restart_s(self) -> float:
-        """Seconds until a control node has answered all edges that begin at once, each table encoded anew."""
+        """Seconds until a control node has answered all edges that start at once, with a new encoding each."""
         return self.edges * self.lines.at(Label.TABLE_ENCODE, self.workers) * MILLI
 
     def mass_restart_mb(self) -> float:
-        """What each edge gets then: the whole table by every control node."""
+        """Megabytes that each edge then receives: the whole table from every control node."""
         return target.CONTROL_MACHINES * self.lines.at(Label.TABLE_BYTES, self.workers) * MILLI
 
     def table_bytes(self) -> float:
-        """One frame with the whole table of workers."""
+        """Bytes of one frame with the whole table of workers."""
         return self.lines.at(Label.TABLE_BYTES, self.workers) / MILLI
 
     def vector_days(self) -> float:
-        """Days of ordinary restarts until pulls without news alone reach the bound of bytes."""
+        """Days of ordinary restarts until pulls without updates alone reach the bound on bytes."""
         slope = self.pulls_at_rest
         entry = self.lines.line(Label.REQUEST_BYTES).slope + self.lines.line(Label.RESPONSE_BYTES).slope
-        left = target.CONTROL_BYTES_PER_S - self.edge_bytes_at_rest()
-        return left / (slope * entry) / self.origins_a_day
+        remaining = target.CONTROL_BYTES_PER_S - self.edge_bytes_at_rest()
+        return remaining / (slope * entry) / self.origins_a_day
 
     def commit_bytes_a_day(self) -> float:
         """Bytes from the primary to its backups for a day's changes: each carries the whole document."""
@@ -197,12 +197,12 @@
         return target.CHANGES_PER_DAY * self.factor * entry * (target.CONTROL_MACHINES - 1)
 
 
-PULL_PATIENCE_S = POLL_S + ANSWER_SLACK_S
+PULL_TIMEOUT_S = POLL_S + ANSWER_SLACK_S
 
 
 @dataclass(frozen=True)
 class Bounded:
-    """A cost that has a bound: where it is paid, what it is, in which unit."""
+    """A cost with a bound: where it arises, its unit and its value by size."""
 
     name: str
     place: str
@@ -211,7 +211,7 @@
     value: Callable[[Scaled], float]
 
     def breaks_at(self, lines: Lines, results: Results) -> float:
-        """The factor of the operators' size at which the bound is met, between 0 and `LARGEST_FACTOR`."""
+        """Returns the factor of the operators' size that reaches the bound, from 0 to `LARGEST_FACTOR`."""
         low, high = 0.0, LARGEST_FACTOR
         if self.value(Scaled(lines, results, high)) <= self.bound:
             return high
@@ -236,7 +236,7 @@
         "the whole table to all edges after a mass restart, against an edge's patience with a pull",
         "`controlplane/distribution.py`",
         "s",
-        PULL_PATIENCE_S,
+        PULL_TIMEOUT_S,
         Scaled.mass_restart_s,
     ),
     Bounded(
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -197,14 +197,14 @@
 def test_a_request_costs_the_same_however_many_workers_there_are() -> None:
     counts = []
     for workers in (FEW, MANY):
-        edge = selection.PlayedEdge(worker_records(workers, 1), 1, 1)
+        edge = selection.SelectorSimulation(worker_records(workers, 1), 1, 1)
         edge.play(20.0, 4.0)
         counts.append(min(calls(lambda edge=edge: edge.request(0.0)) for _ in range(20)))  # type: ignore[misc]
     assert counts[1] <= 2 * counts[0]  # more holders, of which a few are compared
 
 
 def test_tokens_and_tables_are_bounded_by_what_is_asked_for() -> None:
-    edge = selection.PlayedEdge(worker_records(MANY, 1), target.CLASSES, 1)
+    edge = selection.SelectorSimulation(worker_records(MANY, 1), target.CLASSES, 1)
     edge.play(30.0, 4.0)
     assert len(edge.selector.market.tables) <= 30 * 4
     assert edge.tokens <= 10_000
