--- a/benchmarks/capacity/system/mechanisms.py
+++ b/benchmarks/capacity/system/mechanisms.py
@@ -82,10 +82,10 @@
 
 
 def _fan_out_then(at: Scaled) -> str:
-    wakes = min(at.news_a_second, 1 / BATCHING_S)
+    wakes = min(at.updates_a_second, 1 / BATCHING_S)
     bare = at.lines.at(Label.REQUEST_BYTES, 0)
     record = at.lines.at(Label.RECORD_BYTES, target.ADAPTERS_PER_WORKER)
-    updates = wakes * bare + at.news_a_second * record
+    updates = wakes * bare + at.updates_a_second * record
     notices = (FEW_PULLED - 1) * min(wakes, 1 / NOTICE_PAUSE_S) * bare
     return f"{rate(updates + notices)} an edge"
 
@@ -109,7 +109,7 @@
 
 def _holders_now(at: Scaled) -> str:
     one = milliseconds(at.lines.at(Label.SELECT_CHANGE, at.workers))
-    return f"{one} for one worker's news, {core(at.edge_news_core())} with the operators' loads"
+    return f"{one} for one worker's news, {core(at.edge_update_core())} with the operators' loads"
 
 
 def _election(at: Scaled, delay: int) -> str:
--- a/benchmarks/capacity/system/role_table.py
+++ b/benchmarks/capacity/system/role_table.py
@@ -58,7 +58,7 @@
 
 
 def _edge_peak(at: Scaled) -> str:
-    return f"{rate(at.edge_bytes())}; {core(at.edge_news_core())} for news"
+    return f"{rate(at.edge_bytes())}; {core(at.edge_update_core())} for news"
 
 
 def _edge_mass_restart(at: Scaled) -> str:
@@ -88,7 +88,7 @@
 
 
 def _control_peak(at: Scaled) -> str:
-    news = f"{number(at.news_a_second)} times a second news"
+    news = f"{number(at.updates_a_second)} times a second news"
     owner = f"the owner of a placement {milliseconds(at.fan_out_ms())} each, {core(at.fan_out_core())}"
     return f"{news}; {owner}; the others notices, {core(at.notice_core())}"
 
--- a/benchmarks/capacity/system/verdict.py
+++ b/benchmarks/capacity/system/verdict.py
@@ -100,7 +100,8 @@
 
 def _loads_needed(at: Scaled) -> str:
     return (
-        f"{number(at.loads_a_second)} a second; {number(at.news_a_second)} times a second news to everybody"
+        f"{number(at.loads_a_second)} a second; "
+        f"{number(at.updates_a_second)} times a second news to everybody"
     )
 
 
@@ -149,7 +150,7 @@
 
 
 def _core_measured(at: Scaled) -> str:
-    return f"news {core(at.edge_news_core())}, pulls without news {core(_edge_pull_core(at))}"
+    return f"news {core(at.edge_update_core())}, pulls without news {core(_edge_pull_core(at))}"
 
 
 def _edge_pull_core(at: Scaled) -> float:
@@ -157,7 +158,7 @@
 
 
 def _core_verdict(at: Scaled) -> str:
-    return _within(at.edge_news_core() + _edge_pull_core(at), target.CONTROL_CORE_SHARE)
+    return _within(at.edge_update_core() + _edge_pull_core(at), target.CONTROL_CORE_SHARE)
 
 
 def _resident_mb(at: Scaled) -> float:
--- a/benchmarks/capacity/system/worked_out.py
+++ b/benchmarks/capacity/system/worked_out.py
@@ -93,16 +93,16 @@
         return self.pulls_at_rest * self.pull_bytes(origins)
 
     @property
-    def news_a_second(self) -> float:
+    def updates_a_second(self) -> float:
         """Updates a second: worker records, and notices of the placement."""
         return self.records_a_second + self.loads_a_second * NOTICES_PER_LOAD
 
     @property
     def notices_a_second(self) -> float:
         """Notices a second of one control node to one edge."""
-        return min(self.news_a_second, 1 / NOTICE_PAUSE_S)
+        return min(self.updates_a_second, 1 / NOTICE_PAUSE_S)
 
-    def news_bytes(self) -> float:
+    def update_bytes(self) -> float:
         """Bytes of one worker's update to one edge, with the request of the pull."""
         size = {"edges": target.NODES, "workers": target.WORKERS}
         answer = self.figure("distribution", "bytes_a_change", **size) / target.NODES
@@ -113,13 +113,13 @@
         notices = (target.CONTROL_MACHINES - UPDATE_SOURCES) * self.notices_a_second
         placement = self.loads_a_second * NOTICES_PER_LOAD
         updates = self.records_a_second * UPDATE_SOURCES + placement
-        return updates * self.news_bytes() + notices * self.pull_bytes()
+        return updates * self.update_bytes() + notices * self.pull_bytes()
 
-    def edge_news_core(self) -> float:
+    def edge_update_core(self) -> float:
         """Share of a core that an edge spends on updates in its tables and its index of holders."""
         index_ms = self.lines.at(Label.SELECT_CHANGE, self.workers)
         tables_ms = self.lines.at(Label.EDGE_CHANGE, self.workers) * MICRO / MILLI
-        return self.news_a_second * (index_ms + tables_ms) * MILLI
+        return self.updates_a_second * (index_ms + tables_ms) * MILLI
 
     def edge_state_mb(self) -> float:
         """Megabytes of an edge's tables and selection."""
@@ -141,7 +141,7 @@
 
     def fan_out_core(self) -> float:
         """Share of a core for updates to edges at the placement owner, the busiest control node."""
-        return self.news_a_second * self.fan_out_ms() * MILLI
+        return self.updates_a_second * self.fan_out_ms() * MILLI
 
     def notice_core(self) -> float:
         """Share of a core for notices to all edges at a control node that sends them no updates."""
@@ -172,7 +172,7 @@
         return self.reports_a_second() * self.owner_step_ms() * MILLI
 
     def mass_restart_s(self) -> float:
-        """Seconds until a control node has answered all edges that start at once, with a new encoding each."""
+        """Seconds until a control node has answered all edges that start at once, one encoding each."""
         return self.edges * self.lines.at(Label.TABLE_ENCODE, self.workers) * MILLI
 
     def mass_restart_mb(self) -> float:
@@ -258,7 +258,7 @@
         "`dataplane/node.py`, `selection/market_selector.py`",
         "of a core",
         target.CONTROL_CORE_SHARE,
-        Scaled.edge_news_core,
+        Scaled.edge_update_core,
     ),
     Bounded(
         "state of an edge: tables and selection",
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -1,4 +1,4 @@
-"""The page of the coming size is made of results; what grows with the size, by counts alone."""
+"""The capacity page is generated from results; costs grow with the size as expected, by counts of calls."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 from tests.test_capacity import calls
 
 FEW, MANY = 250, 2_500
-FLAT = 1.2  # how much more calls may be made at ten times the size, where nothing should grow
+FLAT = 1.2  # maximum growth of calls at ten times the size, for costs that should stay constant
 LINEAR = 1.2 * MANY / FEW
 
 
@@ -52,7 +52,7 @@
     assert set(re.findall(r"<!-- table: (\w+) -->", text)) == set(page.TABLES)
 
 
-def test_a_figure_typed_into_a_table_shows() -> None:
+def test_a_figure_typed_into_a_table_is_replaced() -> None:
     text = page.PAGE.read_text()
     wrong = text.replace("**does not**", "holds", 1)
     assert wrong != text
@@ -115,7 +115,7 @@
     assert counts[1] <= FLAT * counts[0]
 
 
-def test_looking_for_silent_workers_grows_by_the_workers_alone() -> None:
+def test_the_sweep_for_unresponsive_workers_grows_only_with_the_workers() -> None:
     few, many = (registries.filled_registry(worker_records(workers, 1)) for workers in (FEW, MANY))
     counts = [
         calls(lambda registry=registry: registry.sweep(lambda origin: True)) for registry in (few, many)
@@ -123,7 +123,7 @@
     assert counts[1] <= LINEAR * counts[0]
 
 
-def test_news_is_answered_once_to_each_edge_and_with_the_same_bytes() -> None:
+def test_an_update_is_answered_once_to_each_edge_with_the_same_bytes() -> None:
     records = worker_records(FEW, 1)
     few = run_virtual(pulls.answer_all(5, records, 4, together=False))
     many = run_virtual(pulls.answer_all(50, records, 4, together=False))
@@ -141,7 +141,7 @@
     a_first = (sizes[1] - sizes[0]) / 72
     a_later = (sizes[2] - sizes[1]) / 720
     assert a_later == pytest.approx(a_first, rel=0.05)
-    assert a_first < 80  # bytes, request and answer together
+    assert a_first < 80  # bytes of request and answer
 
 
 def test_a_record_grows_by_its_adapters_and_by_nothing_else() -> None:
@@ -173,7 +173,7 @@
     assert sizes[0] == sizes[1]
 
 
-def test_adapters_take_no_room_in_a_configuration() -> None:
+def test_adapters_do_not_enlarge_a_configuration() -> None:
     few = documents.document_text(130, 1_300, 130)
     many = documents.document_text(130, 12_000, 130)
     assert len(many) - len(few) <= 130 * 4
@@ -200,7 +200,7 @@
         edge = selection.SelectorSimulation(worker_records(workers, 1), 1, 1)
         edge.play(20.0, 4.0)
         counts.append(min(calls(lambda edge=edge: edge.request(0.0)) for _ in range(20)))  # type: ignore[misc]
-    assert counts[1] <= 2 * counts[0]  # more holders, of which a few are compared
+    assert counts[1] <= 2 * counts[0]  # there are more holders, but only a few are compared
 
 
 def test_tokens_and_tables_are_bounded_by_what_is_asked_for() -> None:
@@ -210,7 +210,7 @@
     assert edge.tokens <= 10_000
 
 
-def test_an_answer_without_news_changes_no_table() -> None:
+def test_an_answer_without_updates_changes_no_table() -> None:
     first = pulls.first_answer(worker_records(FEW, 1))
     tables = pulls.FleetTables()
     tables.take(first)
@@ -228,7 +228,7 @@
     assert figures["moved_by_one_loss"] == figures["expected_moved"]
 
 
-def test_hollow_workers_hold_models_of_the_configuration() -> None:
+def test_simulated_workers_hold_models_of_the_configuration() -> None:
     names = {model_name(number) for number in range(target.MODELS)}
     held = {model.name for record in worker_records(FEW, 1) for model in record.models}
     assert held <= names
--- a/tests/test_virtual_fleet.py
+++ b/tests/test_virtual_fleet.py
@@ -77,9 +77,9 @@
     """Sends each request again after it was served."""
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
-        told = list(events)
-        return super().handle(now_us, told) + [
-            api.Send(e.request, e.worker) for e in told if isinstance(e, api.AttemptEnded) and e.final]
+        received = list(events)
+        return super().handle(now_us, received) + [
+            api.Send(e.request, e.worker) for e in received if isinstance(e, api.AttemptEnded) and e.final]
 
 
 class SendsToUnknown(RandomDecider):
