--- a/benchmarks/capacity/system/role_table.py
+++ b/benchmarks/capacity/system/role_table.py
@@ -1,4 +1,4 @@
-"""The table of roles: state and messages of each at the operators' size, worked out."""
+"""The table of roles: extrapolated state and messages of each at the operators' size."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Role:
-    """A row: what the role holds, and what it does in each situation."""
+    """One row: the role's state, and its messages in each situation."""
 
     name: str
     state: Cell
@@ -33,7 +33,7 @@
     apart: Cell
 
     def cells(self) -> tuple[Cell, ...]:
-        """All cells, in the order of the table's head."""
+        """Returns all cells in the order of the table's header."""
         return (self.state, self.rest, self.peak, self.mass_restart, self.zone, self.apart)
 
 
@@ -58,7 +58,7 @@
 
 
 def _edge_peak(at: Scaled) -> str:
-    return f"{rate(at.edge_bytes())}; {core(at.edge_news_core())} for news"
+    return f"{rate(at.edge_bytes())}; {core(at.edge_update_core())} for news"
 
 
 def _edge_mass_restart(at: Scaled) -> str:
@@ -88,7 +88,7 @@
 
 
 def _control_peak(at: Scaled) -> str:
-    news = f"{number(at.news_a_second)} times a second news"
+    news = f"{number(at.updates_a_second)} times a second news"
     owner = f"the owner of a placement {milliseconds(at.fan_out_ms())} each, {core(at.fan_out_core())}"
     return f"{news}; {owner}; the others notices, {core(at.notice_core())}"
 
@@ -253,7 +253,7 @@
 
 
 def roles(results: Results) -> str:
-    """What each role has and does at the operators' size."""
+    """Makes the table of all roles at the operators' size."""
     at = scaled(results)
     head = [
         "role",
--- a/tests/system/test_capacity.py
+++ b/tests/system/test_capacity.py
@@ -1,4 +1,4 @@
-"""The page of the coming size is made of results; what grows with the size, by counts alone."""
+"""The capacity page is generated from results; costs grow with the size as expected, by counts of calls."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from arrowfold.replication.state import ConfigurationStep, ControlState, apply_entry
 from benchmarks.capacity.fitting import FitSpec, FittedLine, Results, fit_one
 from benchmarks.capacity.page import MISSING
-from benchmarks.capacity.results import Result, place, read
+from benchmarks.capacity.results import Result, read_result, result_path
 from benchmarks.capacity.system import (
     documents,
     monitoring,
@@ -39,7 +39,7 @@
 from tests.test_capacity import calls
 
 FEW, MANY = 250, 2_500
-FLAT = 1.2  # how much more calls may be made at ten times the size, where nothing should grow
+FLAT = 1.2  # maximum growth of calls at ten times the size, for costs that should stay constant
 LINEAR = 1.2 * MANY / FEW
 
 
@@ -48,15 +48,15 @@
 
 def test_the_tables_are_those_of_the_results() -> None:
     text = page.PAGE.read_text()
-    assert page.filled(text) == text, "make capacity"
+    assert page.fill_tables(text) == text, "make capacity"
     assert set(re.findall(r"<!-- table: (\w+) -->", text)) == set(page.TABLES)
 
 
-def test_a_figure_typed_into_a_table_shows() -> None:
+def test_a_figure_typed_into_a_table_is_replaced() -> None:
     text = page.PAGE.read_text()
     wrong = text.replace("**does not**", "holds", 1)
     assert wrong != text
-    assert page.filled(wrong) == text
+    assert page.fill_tables(wrong) == text
 
 
 def test_tables_by_hand_hold_no_figures() -> None:
@@ -67,17 +67,17 @@
 def test_every_table_can_say_that_nothing_is_measured() -> None:
     with tempfile.TemporaryDirectory() as folder:
         for name in page.TABLES:
-            text = page.filled(f"<!-- table: {name} -->\n<!-- end -->", Path(folder))
+            text = page.fill_tables(f"<!-- table: {name} -->\n<!-- end -->", Path(folder))
             assert text.count("\n") >= 3
-        verdict = page.filled("<!-- table: breaks -->\n<!-- end -->", Path(folder))
+        verdict = page.fill_tables("<!-- table: breaks -->\n<!-- end -->", Path(folder))
         assert MISSING in verdict
 
 
 def test_the_results_are_sound() -> None:
-    kept = [point for point in POINTS if place(point.name).exists()]
+    kept = [point for point in POINTS if result_path(point.name).exists()]
     assert len(kept) > len(POINTS) // 2
     for point in kept:
-        result = read(place(point.name))
+        result = read_result(result_path(point.name))
         assert (result.test, result.size) == (point.test, point.size)
 
 
@@ -115,7 +115,7 @@
     assert counts[1] <= FLAT * counts[0]
 
 
-def test_looking_for_silent_workers_grows_by_the_workers_alone() -> None:
+def test_the_sweep_for_unresponsive_workers_grows_only_with_the_workers() -> None:
     few, many = (registries.filled_registry(worker_records(workers, 1)) for workers in (FEW, MANY))
     counts = [
         calls(lambda registry=registry: registry.sweep(lambda origin: True)) for registry in (few, many)
@@ -123,7 +123,7 @@
     assert counts[1] <= LINEAR * counts[0]
 
 
-def test_news_is_answered_once_to_each_edge_and_with_the_same_bytes() -> None:
+def test_an_update_is_answered_once_to_each_edge_with_the_same_bytes() -> None:
     records = worker_records(FEW, 1)
     few = run_virtual(pulls.answer_all(5, records, 4, together=False))
     many = run_virtual(pulls.answer_all(50, records, 4, together=False))
@@ -141,7 +141,7 @@
     a_first = (sizes[1] - sizes[0]) / 72
     a_later = (sizes[2] - sizes[1]) / 720
     assert a_later == pytest.approx(a_first, rel=0.05)
-    assert a_first < 80  # bytes, request and answer together
+    assert a_first < 80  # bytes of request and answer
 
 
 def test_a_record_grows_by_its_adapters_and_by_nothing_else() -> None:
@@ -173,7 +173,7 @@
     assert sizes[0] == sizes[1]
 
 
-def test_adapters_take_no_room_in_a_configuration() -> None:
+def test_adapters_do_not_enlarge_a_configuration() -> None:
     few = documents.document_text(130, 1_300, 130)
     many = documents.document_text(130, 12_000, 130)
     assert len(many) - len(few) <= 130 * 4
@@ -197,20 +197,20 @@
 def test_a_request_costs_the_same_however_many_workers_there_are() -> None:
     counts = []
     for workers in (FEW, MANY):
-        edge = selection.PlayedEdge(worker_records(workers, 1), 1, 1)
+        edge = selection.SelectorSimulation(worker_records(workers, 1), 1, 1)
         edge.play(20.0, 4.0)
         counts.append(min(calls(lambda edge=edge: edge.request(0.0)) for _ in range(20)))  # type: ignore[misc]
-    assert counts[1] <= 2 * counts[0]  # more holders, of which a few are compared
+    assert counts[1] <= 2 * counts[0]  # there are more holders, but only a few are compared
 
 
 def test_tokens_and_tables_are_bounded_by_what_is_asked_for() -> None:
-    edge = selection.PlayedEdge(worker_records(MANY, 1), target.CLASSES, 1)
+    edge = selection.SelectorSimulation(worker_records(MANY, 1), target.CLASSES, 1)
     edge.play(30.0, 4.0)
     assert len(edge.selector.market.tables) <= 30 * 4
     assert edge.tokens <= 10_000
 
 
-def test_an_answer_without_news_changes_no_table() -> None:
+def test_an_answer_without_updates_changes_no_table() -> None:
     first = pulls.first_answer(worker_records(FEW, 1))
     tables = pulls.FleetTables()
     tables.apply(first)
@@ -228,7 +228,7 @@
     assert figures["moved_by_one_loss"] == figures["expected_moved"]
 
 
-def test_hollow_workers_hold_models_of_the_configuration() -> None:
+def test_simulated_workers_hold_models_of_the_configuration() -> None:
     names = {model_name(number) for number in range(target.MODELS)}
     held = {model.name for record in worker_records(FEW, 1) for model in record.models}
     assert held <= names
--- a/tests/test_virtual_fleet.py
+++ b/tests/test_virtual_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet simulation is deterministic, and its checkers detect a violation of each rule."""
+"""The fleet in virtual time: it repeats itself, and its checkers see each rule broken."""
 
 from __future__ import annotations
 
@@ -10,77 +10,71 @@
 from arrowfold import interface as api
 from benchmarks.fleet import __main__ as fleet
 from benchmarks.fleet.days import DAYS
-from benchmarks.fleet.deciders import Plain
+from benchmarks.fleet.deciders import RandomDecider
 from benchmarks.fleet.world import World
 
 SMALL = {"nodes": 14, "servers": 9, "seconds": 8}
 
 
-class Determinism(unittest.TestCase):
-    def test_each_day_keeps_the_rules_and_is_deterministic(self) -> None:
+class Repeats(unittest.TestCase):
+    def test_each_day_keeps_the_rules_and_repeats_itself(self) -> None:
         for day in DAYS:
             with self.subTest(day):
                 first, again = (fleet.play(day, seed=3, **SMALL) for _ in range(2))
-                self.assertEqual(first.broken, [])
+                self.assertEqual(first.violations, [])
                 self.assertEqual(first.figures(), again.figures())
                 self.assertGreater(first.figures()["in time"], 100)
 
-    def test_all_deciders_get_the_same_arrivals(self) -> None:
-        """Random streams are separate: the decisions of a decider must not change the arrivals."""
-        offered = [fleet.play("calm", decider, seed=3, **SMALL).offered for decider in fleet.DECIDERS]
+    def test_other_decisions_meet_the_same_arrivals(self) -> None:
+        """Each part has its own random stream, so a decider's choices don't change the arrivals."""
+        offered = [fleet.play("calm", decider, seed=3, **SMALL).offered_value for decider in fleet.DECIDERS]
         self.assertEqual(offered[0], offered[1])
         self.assertEqual(offered[0], offered[2])
 
-    def test_a_decider_that_knows_the_true_state_refuses_least(self) -> None:
+    def test_who_sees_the_true_state_is_turned_away_least(self) -> None:
         plain, seeing = (fleet.play("calm", decider, seed=3, **SMALL).figures().get("full", 0.0)
                          for decider in ("plain", "seeing"))
         self.assertLess(seeing, plain)
 
 
 class ColdBudget(unittest.TestCase):
-    def test_all_nodes_together_keep_within_it_and_use_it(self) -> None:
-        """Rule 4 holds over a fleet whose nodes share no state; an unused budget would be a fault as well."""
+    def test_all_nodes_together_keep_to_it_and_use_it(self) -> None:
+        """Rule 4 holds though the nodes share no state, and the cold-start budget is used."""
         for day in ("join", "zone"):
             with self.subTest(day):
                 world = fleet.play(day, seed=3, nodes=26, servers=15, seconds=16)
                 used = world.figures()
-                self.assertEqual((world.broken, used["falls"]), ([], 0))
+                self.assertEqual((world.violations, used["falls"]), ([], 0))
                 self.assertLess(used["cold peak"], 1)
                 self.assertGreater(used["cold peak"], 0.2)
 
 
-class DuplicatesRefusals(Plain):
-    """Repeats each refusal."""
-
+class AnswersTwice(RandomDecider):
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         actions = super().handle(now_us, events)
         return actions + [a for a in actions if isinstance(a, api.Refuse)]
 
 
-class NeverAnswers(Plain):
-    """Never answers or sends a request."""
-
+class NeverAnswers(RandomDecider):
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         return [a for a in super().handle(now_us, events) if isinstance(a, api.Subscribe)]
 
 
-class IgnoresListUpdates(Plain):
-    """Ignores all but the first list and keeps sending to its servers."""
+class IgnoresUpdates(RandomDecider):
+    """Ignores discovery's updates after the first list."""
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         return super().handle(now_us, [
-            e for e in events if not (self.serving and isinstance(e, api.RosterUpdate))])
+            e for e in events if not (self.in_service and isinstance(e, api.RosterUpdate))])
 
 
-class SendsThreeCopies(Plain):
-    """Sends each request three times at once."""
+class SendsCopies(RandomDecider):
+    def _next_attempt(self, request: str) -> list[api.Action]:
+        return 3 * super()._next_attempt(request)[:1]
 
-    def _go_on(self, request: str) -> list[api.Action]:
-        return 3 * super()._go_on(request)[:1]
 
-
-class ResendsServed(Plain):
-    """Sends a request again after its final outcome."""
+class ResendsServed(RandomDecider):
+    """Sends each request again after it was served."""
 
     def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
         received = list(events)
@@ -88,69 +82,67 @@
             api.Send(e.request, e.worker) for e in received if isinstance(e, api.AttemptEnded) and e.final]
 
 
-class SendsToUnlisted(Plain):
-    """Sends to a server that is in no list."""
-
+class SendsToUnknown(RandomDecider):
     def pick(self) -> str:
         return "nobody"
 
 
-class OverloadsColdServer(Plain):
-    """Sends all requests to the server that started last."""
+class OverloadsNewest(RandomDecider):
+    """Sends every request to the worker that started last."""
 
     def pick(self) -> str:
-        return max(self.serving.values(), key=lambda entry: entry.launched_us).worker
+        return max(self.in_service.values(), key=lambda entry: entry.launched_us).worker
 
 
 class Checkers(unittest.TestCase):
-    def play(self, day: str, decider: type[Plain], **changes: object) -> World:
-        def make_decider(settings: api.Settings, seed: int, _: World) -> Plain:
+    def play(self, day: str, decider: type[RandomDecider], **changes: object) -> World:
+        def make_decider(settings: api.Settings, seed: int, _: World) -> RandomDecider:
             return decider(settings, seed)
 
         with mock.patch.dict(fleet.DECIDERS, other=make_decider):
             return fleet.play(day, "other", seed=3, **{**SMALL, **changes})  # type: ignore[arg-type]
 
     def assert_violation(self, world: World, text: str) -> None:
-        self.assertTrue(any(text in line for line in world.broken), world.broken[:3])
+        self.assertTrue(any(text in line for line in world.violations), world.violations[:3])
 
     def test_plain_breaks_nothing(self) -> None:
-        self.assertEqual(self.play("calm", Plain).broken, [])
+        self.assertEqual(self.play("calm", RandomDecider).violations, [])
 
-    def test_a_second_answer_is_detected(self) -> None:
-        self.assert_violation(self.play("calm", DuplicatesRefusals, load=2.0), "answered twice")
+    def test_two_answers(self) -> None:
+        self.assert_violation(self.play("calm", AnswersTwice, load=2.0), "answered twice")
 
-    def test_a_missing_answer_is_detected(self) -> None:
+    def test_no_answer(self) -> None:
         self.assert_violation(self.play("calm", NeverAnswers), "lost")
 
-    def test_an_attempt_at_a_draining_server_is_detected(self) -> None:
-        world = self.play("join", IgnoresListUpdates, seconds=12)
+    def test_a_draining_server_is_sent_to(self) -> None:
+        world = self.play("join", IgnoresUpdates, seconds=12)
         self.assert_violation(world, "told to drain")
         self.assertGreater(world.latest_drain_us, 1_000_000)
 
-    def test_more_attempts_at_once_than_permitted_are_detected(self) -> None:
-        self.assert_violation(self.play("calm", SendsThreeCopies), "attempts at once")
+    def test_copies_beyond_what_the_settings_permit(self) -> None:
+        self.assert_violation(self.play("calm", SendsCopies), "attempts at once")
 
-    def test_an_attempt_after_the_answer_is_detected(self) -> None:
+    def test_a_send_after_the_answer(self) -> None:
         self.assert_violation(self.play("calm", ResendsServed), "sent after its answer")
 
-    def test_an_attempt_at_an_unlisted_server_is_detected(self) -> None:
-        self.assert_violation(self.play("calm", SendsToUnlisted), "never listed")
+    def test_a_send_to_a_name_that_nobody_listed(self) -> None:
+        self.assert_violation(self.play("calm", SendsToUnknown), "never listed")
 
-    def test_a_wrong_retry_or_refusal_of_a_request_that_may_have_run_is_detected(self) -> None:
-        """The loss of a zone resets the requests that run there; the plain decider retries, then refuses."""
-        for effect, texts in ((api.Idempotency.KEYED, ("after its window",)),
-                               (api.Idempotency.UNSAFE, ("though it may have run", "denied after"))):
-            conf = fleet.shipped()
+    def test_what_may_have_run_is_repeated_too_late_or_at_all_or_called_harmless(self) -> None:
+        """A zone's loss resets the attempts running there; the random decider retries them, then refuses."""
+        for effect, words in ((api.Idempotency.KEYED, ("after its window",)),
+                              (api.Idempotency.UNSAFE, ("though it may have run", "denied after"))):
+            conf = fleet.example_settings()
             classes = tuple(replace(c, idempotency=effect, window_us=20_000) for c in conf.classes)
-            world = self.play("zone", Plain, load=1.5, settings=replace(conf, classes=classes))
-            for text in texts:
-                self.assert_violation(world, text)
+            world = self.play("zone", RandomDecider, load=1.5, settings=replace(conf, classes=classes))
+            for word in words:
+                self.assert_violation(world, word)
 
-    def test_an_overloaded_cold_server_fails_and_is_detected(self) -> None:
-        world = self.play("join", OverloadsColdServer, seconds=12)
-        self.assertGreater(sum(s.falls for s in world.servers.values()), 0)
+    def test_a_cold_server_that_is_pushed_falls_over(self) -> None:
+        world = self.play("join", OverloadsNewest, seconds=12)
+        self.assertGreater(sum(s.crash_count for s in world.workers.values()), 0)
         self.assertGreater(world.figures()["cold peak"], 1)
-        self.assert_violation(world, "pushed over")
+        self.assert_violation(world, "overloaded while cold")
 
 
 if __name__ == "__main__":
