--- a/arrowfold/__init__.py
+++ b/arrowfold/__init__.py
@@ -1,4 +1,4 @@
-"""arrowfold: a token market that decides which worker a dispatcher sends each job to."""
+"""arrowfold: a request router that picks a worker for each job by trading load tokens between workers."""
 
 from __future__ import annotations
 
--- a/arrowfold/choice.py
+++ b/arrowfold/choice.py
@@ -17,9 +17,9 @@
 from arrowfold.ring import Ring
 from arrowfold.state import PENALTY_HALF_LIFE_US, Attempt, Request, RunningShare, Table, Timers, Worker
 
-MARKET_ROUND_US = SECOND // 2  # mean time between market rounds
+MARKET_ROUND_US = SECOND // 2  # mean time between token-trading rounds
 REPORT_FRESH_US = SECOND  # a younger load report is not probed for again; doubled in a large fleet
-AFFINITY_SIZE = 4  # affinity workers of a key whose tokens are drawn first
+AFFINITY_WORKERS = 4  # affinity workers of a key whose tokens are drawn first
 AFFINITY_FACTOR = 1.25  # limit of own slots at an affinity worker: 1 + this times own attempts per worker
 AFFINITY_MAX_LOAD = 1.8  # limit of its total load, penalties included; approaches 1 in a large fleet
 REFUSAL_PAUSE_FACTOR = 0.05  # after a refusal, affinity is suspended for this fraction of a mean run time
@@ -31,7 +31,7 @@
 LONG_QUEUE = 5  # behind a queue of this length a new request is queued without a search
 QUEUE_POLL_US = SECOND // 10  # longest queue poll interval while searches succeed, however long requests run
 REPORT_HALF_LIFE_US = 5 * SECOND  # half-life of a report of others' load at a worker, towards the mean
-MAX_RETRY_US = 2 * SECOND  # longest roster retry interval; a change binds 6 s after its publication
+MAX_RETRY_US = 2 * SECOND  # longest roster retry interval; changes must be applied within 6 s of publication
 RATE_SPAN_US = 10 * SECOND  # time constant of the measured arrival rates
 STAGE_HOLDER, STAGE_LOCAL, STAGE_REMOTE = range(3)  # stages of a request's search for capacity
 COLD_BUDGET_SHARE = 0.4  # fraction of the cold budget that all dispatchers together aim to use
@@ -40,14 +40,14 @@
 
 
 def may_refuse(request: Request) -> bool:
-    """Rule 2: returns whether a refusal, which invites the client to retry, is safe."""
+    """Rule 2 (no unsafe repeat): returns whether a refusal, which invites the client to retry, is safe."""
     kind, group = request.cls.idempotency, request.cls.group
     harmless = kind is Idempotency.SAFE or (kind is Idempotency.KEYED and group == "all")
     return harmless or not any(a.may_have_run for a in request.attempts)
 
 
 def may_repeat_on(request: Request, worker: Worker, now: int) -> bool:
-    """Rule 2: returns whether earlier attempts that may have run permit a repeat on this worker."""
+    """Rule 2 (no unsafe repeat): returns whether earlier attempts permit a repeat on this worker."""
     cls = request.cls
     for attempt in request.attempts:
         if not attempt.may_have_run or cls.idempotency is Idempotency.SAFE:
@@ -60,12 +60,12 @@
 
 
 class Dispatcher(Timers, TokenMarket[Worker, Table]):
-    """Turns the events of one dispatcher into actions; see `handle`."""
+    """Turns one dispatcher's events into actions; see `handle`. `counters` counts what no action shows."""
 
     def __init__(self, settings: api.Settings, seed: int, counters: Counter[str] | None = None) -> None:
         super().__init__()
         self.settings, self.random = settings, random.Random(seed)
-        self.counters: Counter[str] = Counter() if counters is None else counters  # what no action shows
+        self.counters: Counter[str] = Counter() if counters is None else counters
         self.workers: dict[str, Worker] = {}
         self.pools: dict[tuple[str | None, bool], list[Worker]] = {}
         self.cold_workers: list[Worker] = []  # as of the last roster change
@@ -114,7 +114,7 @@
 
     def _on_roster(self, event: api.RosterUpdate) -> None:
         if event.mode is RosterMode.ERROR:
-            # Backs off to spare the roster, within a limit: rule 3 needs its changes in time.
+            # Backs off to spare the roster; limited, so that no work goes to leaving workers (rule 3).
             self.roster_failures += 1
             wait = min(MAX_RETRY_US, self.settings.ask_within_us / 24 * 1.5 ** min(self.roster_failures, 8))
             self._set_timer(self._jitter(wait / 1.5), self._subscribe)
@@ -200,7 +200,7 @@
             self._send_queued(worker)
 
     def _send_to_cold(self, request: Request) -> bool:
-        """In a large fleet, uses a due turn at a cold worker with a free slot; returns if there was one."""
+        """In a large fleet, sends to a cold worker that is due, with a free slot; returns whether it did."""
         usable = [w for w in self.cold_workers if self._warmth(w) < 1.0 and (w.free is None or w.free[0] > 0)
                   and self.allowed(request, w)] if self._visibility() < 1 else []
         self._send(request, self._pick_worker(usable, request.table))
@@ -212,8 +212,8 @@
     def allowed(self, request: Request, worker: Worker) -> bool:
         """Returns whether the rules permit sending this request to this worker now; checked at every send."""
         settings, cls = self.settings, request.cls
-        if not (request.open and worker.serving and request.can_use(worker)) or request.streaming:  # 1 and 3
-            return False
+        if not (request.open and worker.serving and request.can_use(worker)) or request.streaming:
+            return False  # rules 1 and 3: one final answer; no work to leaving workers
         if cls.kind not in (None, worker.kind) or not self._attempts_left(request):
             return False
         out = request.count_in_flight()
@@ -226,7 +226,7 @@
         return self._warmth(worker) >= 1.0 or self._has_cold_turn(worker, request)
 
     def _has_cold_turn(self, worker: Worker, request: Request) -> bool:
-        """Rule 4: a cold worker gets light requests only, at a rate safe for all dispatchers together."""
+        """Rule 4 (cold workers): light requests only, at a rate safe for all dispatchers together."""
         work = request.work_us() * request.slots
         if not worker.next_cold_turn_us:
             self._schedule_cold_turn(worker, work)
@@ -249,7 +249,7 @@
         if worker.strikes:  # relative to the mean, so that work goes on when all workers fail alike
             load += max(0.0, worker.strikes * 2 ** (
                 -(self.now - worker.penalty_us) / PENALTY_HALF_LIFE_US) - self.mean_penalty)
-        if worker.errors_per_s and self._visibility() < 1:  # as reported: failing fast leaves slots free
+        if worker.errors_per_s and self._visibility() < 1:  # failing fast, it has free slots and looks idle
             load += worker.errors_per_s * self.mean_run_us / SECOND * 2 ** (
                 -(self.now - worker.last_report_us) / PENALTY_HALF_LIFE_US)
         if worker.slowness > 1.5:
@@ -288,7 +288,7 @@
         for k, figure in enumerate(sizes):
             worker.size[k] = max(worker.size[k], figure)
         worker.free, worker.last_report_us, worker.errors_per_s = free, self.now, report.errors or 0.0
-        worker.update_lag(self.now)
+        worker.update_lagged_in_flight(self.now)
         for k, figure in enumerate(free):
             used = worker.size[k] - figure
             if not k and report.held is not None and report.free_slots <= 0:
@@ -363,7 +363,7 @@
         return self._warmth(worker) >= 1.0
 
     def _market_round(self) -> None:
-        """Runs a market round: recounts the tokens, then trades among a few sampled workers."""
+        """Runs a token-trading round: recounts the tokens, then trades among a few sampled workers."""
         self._set_timer(self._jitter(MARKET_ROUND_US), self._market_round)
         penalties = [w.failed * 2 ** (-(self.now - w.penalty_us) / PENALTY_HALF_LIFE_US)
                      for w in self.workers.values() if w.serving]
@@ -384,11 +384,11 @@
             return
         attempt_cap = self.settings.attempt_cap
         request = self.requests[event.request] = Request(event, table, self.now, attempt_cap)
-        table.rate.count(self.now)
+        table.rate.record_event(self.now)
         request.over_share = self._exceeds_share(event.tenant)
         table.slots += 0.05 * (request.slots - table.slots)
         table.memory += 0.05 * (request.memory - table.memory)
-        # Rule 1: each open request ends by this timer, whatever else fails.
+        # Rule 1 (one final answer): each open request ends by this timer, whatever else fails.
         self._set_timer(event.deadline_us - self.now - self.settings.tick_us, self._end_request, request)
         if self._visibility() < 1:  # a client's retry has less time left than its class gives
             request.estimate_first_try(self.now)
@@ -407,8 +407,8 @@
         if not self._attempts_left(request):
             self._end_unless_in_flight(request)
             return
-        if not request.attempts and self._send_to_cold(request):  # or they idle until all others are full
-            return
+        if not request.attempts and self._send_to_cold(request):
+            return  # otherwise cold workers would stay idle until all others are full
         if not table.tokens and self.tables.get(table.cls.name) is table:
             self._grant(table)
         tried = [a.worker for a in request.attempts]
@@ -430,13 +430,13 @@
         return min(1.0, SMALL_FLEET / self.settings.fleet_size)
 
     def _lacks_load_reports(self) -> bool:
-        """Returns if a large fleet lacks reports: affinity would overfill workers, a cancel only resend."""
+        """Returns whether this is a large fleet without load reports."""
         return self._visibility() < 1 and not self.settings.has_load_reports
 
     def _draw_token(self, request: Request, tried: list[Worker]) -> Token[Worker] | None:
         """Returns a token of the class: of an affinity worker of the request's key, else a random one."""
         # A large fleet has enough dispatchers in each zone to share the cache of an affinity worker there.
-        for worker in sorted(self._affinity_workers(request)[:AFFINITY_SIZE],
+        for worker in sorted(self._affinity_workers(request)[:AFFINITY_WORKERS],
                              key=lambda w: self._visibility() < 1 and not w.local):
             if worker not in tried and self._accepts_affinity(worker) and self.allowed(request, worker):
                 token = next((t for t in worker.tokens if t.table is request.table), None)
@@ -451,7 +451,7 @@
     def _affinity_workers(self, request: Request) -> list[Worker]:
         """Returns a key's affinity workers, in the same order at every dispatcher, to avoid data fetches."""
         if not request.key or not self.ring.names or self._lacks_load_reports():
-            return []
+            return []  # in a large fleet without load reports, affinity would overload its workers
         if request.affinity_version != self.ring.version:
             request.affinity = [self.workers[n] for n in self.ring.successors(request.key, 4 * CANDIDATES)]
             request.affinity_version = self.ring.version
@@ -463,7 +463,7 @@
         usable = [w for w in request.candidates if self.allowed(request, w)]
         available = [w for w in usable if self._has_capacity(w, request)]
         if request.search_stage == STAGE_HOLDER and token:
-            preferred = token.holder in self._affinity_workers(request)[:AFFINITY_SIZE] \
+            preferred = token.holder in self._affinity_workers(request)[:AFFINITY_WORKERS] \
                 and self._accepts_affinity(token.holder)
             balanced = token.holder in available \
                 and self._imbalance(token.holder)[0] <= self.spread * len(self.mean)
@@ -505,7 +505,7 @@
         if self._send_to_cold(request):
             return
         # The last attempt is kept for a worker with free capacity: a full queue refuses requests.
-        if usable and not self.in_flight:  # not stopped by reports that show zero forever
+        if usable and not self.in_flight:  # else workers that always report no free slot stop all traffic
             self._send(request, self._pick_worker(usable, table))
             return
         best = self._pick_worker(
@@ -523,7 +523,7 @@
         quota = self.tenant_quotas.get(tenant or "", 0.0)
         if tenant is None or quota <= 0:
             return False
-        self.tenant_rates[tenant].count(self.now)
+        self.tenant_rates[tenant].record_event(self.now)
         return self.random.random() > quota / self.tenant_rates[tenant].now(self.now)
 
     def _priority(self, request: Request) -> float:
@@ -571,13 +571,13 @@
                 return
 
     def _attempts_left(self, request: Request) -> int:
-        """By the settings at its arrival and the current ones: a lowered cap applies at once."""
+        """Returns how many more attempts are permitted, by the lower of the caps at its arrival and now."""
         return max(0, min(request.attempt_cap, self.settings.attempt_cap) - len(request.attempts))
 
     def _latest_start_us(self, request: Request) -> float:
         """Returns the latest start expected to meet the objective, or the deadline once that is missed."""
         cls, work = request.cls, request.work_us()
-        extra_us = (cls.stretch - 1) * work if self._visibility() >= 1 else 0.0  # a light request has little
+        extra_us = (cls.stretch - 1) * work if self._visibility() >= 1 else 0.0  # little for light requests
         in_time = request.first_try_us + cls.aim_us + extra_us - self.start_delay_us
         return request.deadline_us - work if request.was_late else min(in_time, request.deadline_us - work)
 
@@ -643,7 +643,7 @@
         attempt = request.attempts[number]
         if request.open and attempt.start_us == attempt.sent_us and not (attempt.ended or request.streaming) \
                 and self.settings.may_cancel and may_refuse(request) and not self._lacks_load_reports():
-            self.actions.append(api.Cancel(request.id, number))
+            self.actions.append(api.Cancel(request.id, number))  # without reports, it would be sent again
 
     def _on_overdue(self, request: Request, number: int) -> None:
         """Handles an attempt that is overdue because its worker is unresponsive or very slow."""
@@ -693,7 +693,7 @@
             worker.add_penalty(self.now, is_failure=event.status is not Status.TIMEOUT)
 
     def _measure_run(self, request: Request, attempt: Attempt) -> None:
-        """Updates C_i, from the reported start (else the send) to the outcome, and the worker's slowness."""
+        """Updates the mean run time C_i, reported start (else send) to outcome, and the worker's slowness."""
         table = request.table
         run = max(1.0, self.now - attempt.start_us)
         table.seen += 1
--- a/arrowfold/interface.py
+++ b/arrowfold/interface.py
@@ -23,7 +23,10 @@
 
 
 class Status(Enum):
-    """How an attempt or a probe ended. MOOT: it was ended before it was sent."""
+    """How an attempt or a probe ended.
+
+    MOOT: the attempt ended before it was sent, or the probe was cancelled.
+    """
 
     OK = 10
     ERROR = 20
@@ -86,7 +89,7 @@
     deadline_us: int
     idempotency: Idempotency = Idempotency.SAFE
     group: str = "all"  # for KEYED: "all", "zone" or "cell"
-    window_us: int = 0
+    window_us: int = 0  # deduplication window
     stretch: float = 0.0  # the objective grows by this multiple of the request's own work
     worth: float = 1.0
     late_share: float = 0.0
@@ -306,7 +309,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The client left: the request needs no answer."""
+    """The client disconnected: the request needs no answer."""
 
     request: str
 
--- a/arrowfold/market/blocks.py
+++ b/arrowfold/market/blocks.py
@@ -54,12 +54,12 @@
         """Returns the given items in sequence order; scans all blocks, and each item's block."""
         rank = {id(block): index for index, block in enumerate(self._blocks)}
 
-        def place(item: T) -> tuple[int, int]:
+        def sort_key(item: T) -> tuple[int, int]:
             block = item.block
             assert block is not None
             return rank[id(block)], block.index(item)
 
-        return sorted(items, key=place)
+        return sorted(items, key=sort_key)
 
     def append(self, item: T) -> None:
         if not self._blocks or len(self._blocks[-1]) >= BLOCK:
--- a/arrowfold/market/tokens.py
+++ b/arrowfold/market/tokens.py
@@ -57,8 +57,8 @@
         """Returns the rate at a time, which must not precede the last event."""
         return self.value * math.exp(-(now - self.updated_us) / self.memory_us)
 
-    def count(self, now: int) -> None:
-        """Counts one event."""
+    def record_event(self, now: int) -> None:
+        """Adds one event to the rate."""
         self.value, self.updated_us = self.now(now) + SECOND / self.memory_us, now
 
 
--- a/arrowfold/market/trading.py
+++ b/arrowfold/market/trading.py
@@ -1,4 +1,4 @@
-"""The rules of the token market (Chen's thesis): token counts, prices, the three trades (docs/design.md).
+"""The rules of the token market after Chen's thesis, whose equations are cited: counts, prices and trades.
 
 L_g, T_s, T_r and T are project defaults: see `tokens_per_worker` and `trade_threshold` of `MarketView`.
 """
@@ -11,7 +11,7 @@
 from arrowfold.market.tokens import HolderT, Token
 from arrowfold.market.view import MarketView, TableT
 
-ROUND_SAMPLE = 8  # workers sampled in a round
+ROUND_SAMPLE = 8  # workers sampled in a token-trading round
 CANDIDATES = 3  # workers compared when a drawn token is traded at once
 MAX_TOKENS = 4800  # of all classes together; with more than 200 workers each holds fewer
 MAX_TOKEN_CHANGES = 1000  # tokens granted or recalled in one round, so as not to block the event loop
@@ -46,12 +46,12 @@
                     token.move(holder)
 
     def _recount(self) -> None:
-        """N_i = ceil(L_i / L_g): grants or recalls tokens as the measured workload changes (ch. 5)."""
+        """N_i = ceil(L_i / L_g): grants or recalls tokens as the measured workload changes (chapter 5)."""
         workload = {name: table.workload(self.now) for name, table in self.tables.items()}
         changes_left, per_worker = MAX_TOKEN_CHANGES, self.tokens_per_worker
         load = sum(workload.values()) / max(per_worker, min(self.worker_count * per_worker, MAX_TOKENS))
-        if not 0.7 * self.load_per_token < load < 1.4 * self.load_per_token:  # hysteresis for steady trades
-            self.load_per_token = load
+        if not 0.7 * self.load_per_token < load < 1.4 * self.load_per_token:
+            self.load_per_token = load  # hysteresis: a small load change does not change the token counts
         for name, table in self.tables.items():
             target = max(1, math.ceil(workload[name] / self.load_per_token)) if self.load_per_token > 0 else 1
             while len(table.tokens) < target and changes_left > 0 and self._grant(table):
@@ -67,7 +67,7 @@
         return sum(deviations), sum(abs(deviation) for deviation in deviations)
 
     def _trade(self, workers: list[HolderT]) -> None:
-        """Moves tokens from senders, to receivers, and between two exchangers (ch. 4)."""
+        """Moves tokens from senders, to receivers, and between two exchangers (chapter 4)."""
         threshold = self.trade_threshold * self.spread * len(self.mean)  # T_s = -T_r = T
         imbalance = {id(w): self._imbalance(w) for w in workers}
         by_load = sorted(workers, key=lambda w: imbalance[id(w)][0])
--- a/arrowfold/ring.py
+++ b/arrowfold/ring.py
@@ -11,7 +11,7 @@
 from zlib import crc32
 
 POINTS_PER_WORKER = 64  # with fewer, the workers' shares of the keys are uneven
-REBUILD_DIVISOR = 8  # a change of more than one in this many workers rebuilds the ring
+REBUILD_DIVISOR = 8  # the ring is rebuilt when more than 1/REBUILD_DIVISOR of the workers change
 Point = tuple[int, str]
 
 
--- a/arrowfold/selection/class_market.py
+++ b/arrowfold/selection/class_market.py
@@ -12,11 +12,11 @@
 from arrowfold.selection.interface import RequestProfile
 from arrowfold.selection.options import SelectionOptions
 
-INITIAL_RUN_US = SECOND  # C_i of a class without a measured run
+INITIAL_RUN_US = SECOND  # mean run time (C_i in the thesis) of a class without a measured run
 MEAN_WEIGHT = 0.03  # weight of a load report in the means over all workers, and of a run in a class's mean
 KV_NEED_WEIGHT = 0.05  # weight of a request in a class's mean need of KV tokens
 MAX_SAMPLED_LOAD = 2.0  # a worker's load counts as at most this in the mean over all workers
-SAMPLE_LIMIT = 8  # tokens drawn for a request, and classes and workers sampled in a round
+SAMPLE_LIMIT = 8  # tokens drawn for a request, and classes and workers sampled in a token-trading round
 
 
 class RequestClass(NamedTuple):
@@ -40,11 +40,11 @@
     def count_request(self, request: RequestProfile, now_s: float) -> None:
         """Counts a request in the class's arrival rate and mean need of KV memory."""
         self.last_request_s = now_s
-        self.rate.count(int(now_s * SECOND))
+        self.rate.record_event(int(now_s * SECOND))
         self.memory += KV_NEED_WEIGHT * (request.prompt_tokens + request.output_tokens - self.memory)
 
     def record_run(self, run_s: float) -> None:
-        """Updates C_i, the mean time from sending an attempt to its successful end."""
+        """Updates the mean run time (C_i in the thesis), from sending an attempt to its successful end."""
         self.seen += 1
         self.run_us += max(MEAN_WEIGHT, 1 / self.seen) * (run_s * SECOND - self.run_us)
 
@@ -89,12 +89,14 @@
         token stays where it is if no worker may hold it.
         """
         changed = dict.fromkeys([*workers, *self._misplaced_holders])
-        misplaced = [token for worker in changed for token in worker.tokens if not self._is_placed(token)]
+        misplaced = [
+            token for worker in changed for token in worker.tokens if not self._has_valid_holder(token)
+        ]
         self._reassign(misplaced)
-        unmoved = (token.holder for token in misplaced if not self._is_placed(token))
+        unmoved = (token.holder for token in misplaced if not self._has_valid_holder(token))
         self._misplaced_holders = list(dict.fromkeys(unmoved))
 
-    def _is_placed(self, token: Token[EngineWorker]) -> bool:
+    def _has_valid_holder(self, token: Token[EngineWorker]) -> bool:
         """Whether requests of the token's class may be sent to its holder."""
         return token.holder.is_available and self._may_hold(token.holder, cast(ClassTable, token.table))
 
@@ -151,7 +153,7 @@
         return None
 
     def run_round(self) -> None:
-        """Runs one round: recounts the tokens, then trades among a few sampled workers."""
+        """Runs one token-trading round: recounts the tokens, then trades among a few sampled workers."""
         self._remove_idle_classes()
         workers = [w for serving in self._workers.values() for w in serving]
         self.mean_failure_penalty = sum(self._failure_penalty(worker) for worker in workers) / max(
@@ -180,8 +182,8 @@
         mean_requests = self.mean_other_load * worker.slots
         if worker.last_report_s is None:
             return mean_requests
-        part = 2 ** (-(self.now_s - worker.last_report_s) / self.options.others_half_life_s)
-        return float(mean_requests + (worker.other_requests - mean_requests) * part)
+        decay = 2 ** (-(self.now_s - worker.last_report_s) / self.options.others_half_life_s)
+        return float(mean_requests + (worker.other_requests - mean_requests) * decay)
 
     def apply_load_report(self, worker: EngineWorker, running: int, waiting: int, slots: int) -> None:
         """Applies a worker's load report; this edge's own attempts are known and subtracted."""
@@ -197,7 +199,7 @@
             self.spread += MEAN_WEIGHT * (abs(deviation) - self.spread) / len(self.mean)
 
     def price(self, worker: EngineWorker, table: ClassTable) -> float:
-        """Returns C_j(w), the price of the class at this worker."""
+        """Returns the price of the class at this worker (C_j(w) in the thesis)."""
         return self._cost(worker, table)
 
     def _load(self, worker: EngineWorker, k: int) -> float:
--- a/arrowfold/state.py
+++ b/arrowfold/state.py
@@ -43,7 +43,7 @@
         self.tokens: list[Token[Worker]] = []
         self.next_cold_turn_us = 0
 
-    def update_lag(self, now: int) -> None:
+    def update_lagged_in_flight(self, now: int) -> None:
         """Updates the delayed view of the attempts in flight, for comparison with a report received now."""
         weight = 1 - 2 ** (-(now - self.lag_updated_us) / REPORT_LAG_US)
         self.lag_updated_us = now
@@ -52,7 +52,7 @@
 
     def add_in_flight(self, now: int, slots: float, memory: float) -> None:
         """Adds to the resources of attempts in flight; negative amounts end them."""
-        self.update_lag(now)
+        self.update_lagged_in_flight(now)
         self.out[0] = max(0.0, self.out[0] + slots)
         self.out[1] = max(0.0, self.out[1] + memory)
 
