--- a/arrowfold/placement/catalogue.py
+++ b/arrowfold/placement/catalogue.py
@@ -30,7 +30,7 @@
     load_rate_per_s: float  # loads per second that the weight store allows, across all workers
 
     def has_class(self, model: str, adapter: str = "") -> bool:
-        """Returns True if the configuration lists this model and, unless empty, this adapter of it."""
+        """Returns True if the configuration lists this model and this adapter of it, if one is given."""
         spec = self.models.get(model)
         if spec is None:
             return False
--- a/arrowfold/placement/demand.py
+++ b/arrowfold/placement/demand.py
@@ -85,7 +85,7 @@
         self.has_duration = False
         self.last_request_s = -math.inf  # when it was last requested
         self.last_miss_s = -math.inf  # when a request last found no holder of it
-        self.missed_requests = 0.0  # requests without a holder since one was last ready
+        self.missed_requests = 0.0  # found no holder; counted since the class last had a ready one
         self.first_miss_s = -math.inf  # when the first of these was reported
         self.priority: float | None = None  # mean rank of the routes that request it; None while unknown
 
@@ -176,7 +176,7 @@
     def urgency(self, model: str) -> float:
         """Returns the weight of a missed request for this model: 1 for the least urgent rank seen so far.
 
-        Each rank before that adds 1. Ranks define an order but no distances, so each counts the same.
+        Each more urgent rank adds 1, because ranks are ordinal: they define an order but no distances.
         """
         priority = self.model(model).priority
         if not self._options.urgency or priority is None:
@@ -192,7 +192,9 @@
         return self._classes.get(key, _NO_DEMAND)
 
     def missed_classes(self, now_s: float, valid_s: float | None = None) -> list[ModelClass]:
-        """Returns classes without a holder that were requested within `valid_s`, those missed most first.
+        """Returns classes without a holder that were requested within `valid_s`.
+
+        They are sorted by the number of missed requests weighted by urgency, descending.
 
         Waiting requests are reported repeatedly, so classes that wait longer rise in this order and newer
         ones cannot starve them. Classes not reported for `heard_again_s` come last: their clients have given
--- a/arrowfold/placement/planner.py
+++ b/arrowfold/placement/planner.py
@@ -259,6 +259,7 @@
         if victims is None:
             return None
         loss = sum(victim.loss for victim in victims)
+        # An urgent load that must wait for an unload, or an optional load that uses free headroom.
         if not target.adapter and bool(victims) == urgent:
             loss += self.reserve.opportunity_cost(context, worker, urgent)
         if not target.adapter:
--- a/arrowfold/placement/room_reserve.py
+++ b/arrowfold/placement/room_reserve.py
@@ -16,7 +16,7 @@
 from arrowfold.placement.worker_state import WorkerState
 
 RATE_TIME_CONSTANT_S = 5.0  # of the average rate of loads for waiting requests
-REFERENCE_LOAD_S = 0.6  # an unload is a smaller part of longer loads: the value falls in proportion
+REFERENCE_LOAD_S = 0.6  # headroom saves the unload time, which matters less the longer a load takes
 WORKERS_PER_RESERVE = 4  # at most one worker in so many is kept with headroom
 
 
--- a/arrowfold/placement/valuation.py
+++ b/arrowfold/placement/valuation.py
@@ -66,8 +66,8 @@
         """Returns the gain of one more copy beside `copies` existing ones, by this model's queues alone."""
         estimate = self._demand.model(model)
         if copies == 0:
-            kept = estimate.retention_rate_per_s(self._now_s) * self._options.miss_cost
-            return kept + self._queue_gain(model, 0)
+            miss_savings = estimate.retention_rate_per_s(self._now_s) * self._options.miss_cost
+            return miss_savings + self._queue_gain(model, 0)
         gain = self._queue_gain(model, copies)
         if copies == 1:
             gain += self._redundancy_gain(estimate)
@@ -108,10 +108,10 @@
         workload = self._demand.model(model).workload(self._now_s)
         running = self._options.running_cost * workload / copies
         if copies > 1 and self._options.loss_by_load:
-            kept = self._copy_loss(worker, model, copies)
+            copy_loss = self._copy_loss(worker, model, copies)
         else:
-            kept = self.gain(model, copies - 1)
-        return kept + running + self._adapters_loss(worker, model)
+            copy_loss = self.gain(model, copies - 1)
+        return copy_loss + running + self._adapters_loss(worker, model)
 
     def _copy_loss(self, worker: WorkerState, model: str, copies: int) -> float:
         """Returns the cost of the other holders' added load without this copy, less this worker's relief."""
@@ -119,9 +119,9 @@
         share = estimate.workload(self._now_s) / copies
         part = share / (copies - 1)
         others = [holder for holder in self._index.holders(model) if holder is not worker]
-        grown = sum(2.0 * self.estimated_load(holder) * part + part * part for holder in others)
-        shrunk = 2.0 * self.estimated_load(worker) * share - share * share
-        loss = self._options.queue_cost * max(0.0, grown - shrunk)
+        added_load_cost = sum(2.0 * self.estimated_load(holder) * part + part * part for holder in others)
+        relieved_load_cost = 2.0 * self.estimated_load(worker) * share - share * share
+        loss = self._options.queue_cost * max(0.0, added_load_cost - relieved_load_cost)
         return loss + (self._redundancy_gain(estimate) if copies == 2 else 0.0)
 
     def adapter_loss(self, key: ModelClass) -> float:
@@ -135,5 +135,5 @@
 
     def _queue_gain(self, model: str, copies: int) -> float:
         workload = self._demand.model(model).workload(self._now_s)
-        between = copies * (copies + 1) if copies else 1
-        return self._options.queue_cost * workload * workload / between
+        divisor = copies * (copies + 1) if copies else 1
+        return self._options.queue_cost * workload * workload / divisor
