--- a/arrowfold/explain/causes.py
+++ b/arrowfold/explain/causes.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from arrowfold.explain.records import LateRequest
+from arrowfold.explain.records import UnsuccessfulRequest
 from arrowfold.node.result_codes import ResultCode
 
 SLOW_EDGE_MS = 100  # maximum time before an attempt is sent; above it the edge node itself was slow
@@ -27,7 +27,7 @@
     UNANSWERED = "the client left, or its time was up"
 
 
-def cause_of(request: LateRequest) -> Cause:
+def cause_of(request: UnsuccessfulRequest) -> Cause:
     """Returns why a request was late or failed."""
     cause_of_code = _CAUSE_BY_CODE.get(request.code)
     if cause_of_code is not None and not request.attempts:
@@ -45,7 +45,7 @@
     return Cause.UNANSWERED
 
 
-def _cause_of_lateness(request: LateRequest) -> Cause:
+def _cause_of_lateness(request: UnsuccessfulRequest) -> Cause:
     last = request.attempts[-1] if request.attempts else None
     last_first_event_ms = None if last is None else last.first_event_ms
     if (
--- a/arrowfold/explain/records.py
+++ b/arrowfold/explain/records.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LateRequest:
+class UnsuccessfulRequest:
     """A request that was late, refused or failed; times in milliseconds after its arrival.
 
     `model_missing_ms`: no worker had its model loaded; `load_known_ms`: a load of the model was known;
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class ModelLoad:
     """One load of a model or adapter; durations of its steps in milliseconds.
 
     `planned_to_eviction_ms` and `eviction_to_order_ms` are None if no eviction was needed.
@@ -89,18 +89,18 @@
 class Records:
     """All records read. `unreadable` counts lines that look like records but can't be parsed."""
 
-    requests: tuple[LateRequest, ...]
+    requests: tuple[UnsuccessfulRequest, ...]
     unrouted: tuple[UnroutedRequest, ...]
-    loads: tuple[Load, ...]
+    loads: tuple[ModelLoad, ...]
     unreadable: int
     suppressed: int  # records that the nodes left out, as they report
 
 
 def read_records(lines: Iterable[str]) -> Records:
     """Returns the records among the lines of one or more logs."""
-    requests: list[LateRequest] = []
+    requests: list[UnsuccessfulRequest] = []
     unrouted: list[UnroutedRequest] = []
-    loads: list[Load] = []
+    loads: list[ModelLoad] = []
     unreadable = suppressed = 0
     for line in lines:
         found = _RECORD_TEXT.search(line)
@@ -132,8 +132,8 @@
     return float(written.group(1)) - (fields.get("end") or 0) / 1000
 
 
-def _request(fields: dict[str, Any], time_s: float) -> LateRequest:
-    return LateRequest(
+def _request(fields: dict[str, Any], time_s: float) -> UnsuccessfulRequest:
+    return UnsuccessfulRequest(
         time_s=time_s,
         node=fields["node"],
         route=fields["route"],
@@ -155,8 +155,8 @@
     )
 
 
-def _load(fields: dict[str, Any], time_s: float) -> Load:
-    return Load(
+def _load(fields: dict[str, Any], time_s: float) -> ModelLoad:
+    return ModelLoad(
         time_s=time_s,
         model=fields["model"],
         adapter=fields["adapter"],
--- a/arrowfold/explain/summary.py
+++ b/arrowfold/explain/summary.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from arrowfold.explain.causes import Cause, cause_of
-from arrowfold.explain.records import LateRequest, Load, Records
+from arrowfold.explain.records import ModelLoad, Records, UnsuccessfulRequest
 
 WINDOW_S = 2
 MEDIAN_QUANTILE, SLOW_QUANTILE = 0.5, 0.9  # of the duration of a step
@@ -40,7 +40,7 @@
     yield from _step_rows(records)
 
 
-def lost_value(request: LateRequest, answer_values: AnswerValues) -> float:
+def lost_value(request: UnsuccessfulRequest, answer_values: AnswerValues) -> float:
     """Returns the value that a request lost against an answer in time.
 
     A refused request that is sent again counts each time.
@@ -49,7 +49,7 @@
     return value.in_time - (value.late if request.is_served else 0.0)
 
 
-def _priority_rows(requests: tuple[LateRequest, ...], answer_values: AnswerValues) -> Iterator[str]:
+def _priority_rows(requests: tuple[UnsuccessfulRequest, ...], answer_values: AnswerValues) -> Iterator[str]:
     yield "priority    late refused  failed   lost worth"
     for priority in sorted({request.priority for request in requests}):
         of_priority = [request for request in requests if request.priority == priority]
@@ -107,20 +107,20 @@
     return f"{name:56s} {len(known):7d} {statistics.median(known):7.0f} {slow:7d}"
 
 
-def _sent_to_first_event(request: LateRequest) -> int | None:
+def _sent_to_first_event(request: UnsuccessfulRequest) -> int | None:
     last = request.attempts[-1] if request.attempts else None
     if last is None or last.first_event_ms is None:
         return None
     return last.first_event_ms - last.sent_ms
 
 
-def _known_to_loaded(request: LateRequest) -> int | None:
+def _known_to_loaded(request: UnsuccessfulRequest) -> int | None:
     if request.load_known_ms is None or request.model_loaded_ms is None:
         return None
     return request.model_loaded_ms - request.load_known_ms
 
 
-_LOAD_STEPS: tuple[tuple[str, Callable[[Load], int | None]], ...] = (
+_LOAD_STEPS: tuple[tuple[str, Callable[[ModelLoad], int | None]], ...] = (
     ("missed until planned", lambda load: load.missed_to_planned_ms),
     ("planned until room is being made", lambda load: load.planned_to_eviction_ms),
     ("room being made until the order is sent", lambda load: load.eviction_to_order_ms),
@@ -128,7 +128,7 @@
     ("order sent until accepted", lambda load: load.order_to_accepted_ms),
     ("accepted until loaded, as expected", lambda load: load.accepted_to_done_ms),
 )
-_REQUEST_STEPS: tuple[tuple[str, Callable[[LateRequest], int | None]], ...] = (
+_REQUEST_STEPS: tuple[tuple[str, Callable[[UnsuccessfulRequest], int | None]], ...] = (
     ("arrival until the load was known", lambda request: request.load_known_ms),
     ("load known until a holder was", _known_to_loaded),
     ("arrival until a holder was known", lambda request: request.model_loaded_ms),
--- a/tests/system/test_explain.py
+++ b/tests/system/test_explain.py
@@ -11,7 +11,7 @@
 
 from arrowfold.dataplane.request_trace import REQUEST_KIND, RequestTrace
 from arrowfold.explain.causes import Cause, cause_of
-from arrowfold.explain.records import LateRequest, read_records
+from arrowfold.explain.records import UnsuccessfulRequest, read_records
 from arrowfold.explain.summary import AnswerValue, summary_lines
 from arrowfold.node.result_codes import ResultCode
 from arrowfold.node.traces import MAX_RECORDS_PER_SECOND, TraceWriter
@@ -47,7 +47,7 @@
     return json.dumps({**fields, **changed}, separators=(",", ":"))
 
 
-def parse_request(line: str) -> LateRequest:
+def parse_request(line: str) -> UnsuccessfulRequest:
     (request,) = read_records([line]).requests
     return request
 
