--- a/arrowfold/protocol/discovery.py
+++ b/arrowfold/protocol/discovery.py
@@ -300,7 +300,7 @@
         return self._keep_draining(entry, revision), known[2]
 
     def _keep_draining(self, entry: api.RosterEntry, revision: object) -> api.RosterEntry:
-        """Guards rule 3 against a lagging replica: an older version does not undo a drain.
+        """Guards rule 3 (no work to leaving workers): an older version of a lagging replica undoes no drain.
 
         A draining worker is in service again only by a later version than the one that drained it, or after a
         restart.
--- a/arrowfold/protocol/worker.py
+++ b/arrowfold/protocol/worker.py
@@ -120,8 +120,8 @@
             except TimedOut:
                 dispatch.ended(api.Status.TIMEOUT)
             except (StreamBroken, ValueError, RecursionError) as error:
-                # Guards rule 2: after the last byte the job may have run, so this is a reset and never
-                # leads to an unreported second attempt.
+                # Guards rule 2 (no unsafe repeat): after the last byte the job may have run, so this is a
+                # reset and never leads to an unreported second attempt.
                 self.counters["resets"] += 1
                 if not dispatch.has_ended:
                     dispatch.ended(api.Status.RESET)
@@ -162,7 +162,7 @@
         if not isinstance(row, dict):
             raise ValueError("a line is not a JSON object")
         if row.get("id", dispatch.job.id) != dispatch.job.id:
-            # Guards rule 1: a late second answer to the connection's previous request goes to no client.
+            # Guards rule 1 (one answer): a late second one to the previous request goes to no client.
             self.counters["answers_misplaced"] += 1
             raise ValueError("a line has another job's id")
         state = row.get("state")
