--- a/benchmarks/control_model/__init__.py
+++ b/benchmarks/control_model/__init__.py
@@ -1,1 +1,1 @@
-"""An explicit-state model of epochs and membership, and a checker that visits every state within bounds."""
+"""An explicit-state model of epochs and membership changes, with a bounded exhaustive model checker."""
--- a/benchmarks/control_model/__main__.py
+++ b/benchmarks/control_model/__main__.py
@@ -29,7 +29,7 @@
 from benchmarks.control_model.scenarios import CLEAN, PLANTED
 from benchmarks.jobs import run_jobs
 
-DEADLINE_SLACK_S = 300.0  # beyond a run's seconds, which are looked at between two states only
+DEADLINE_SLACK_S = 300.0  # a run checks its time limit only between two states
 
 
 def _row(name: str, result: Result) -> dict[str, Any]:
@@ -44,7 +44,7 @@
     }
 
 
-def _tell(row: dict[str, Any]) -> None:
+def _print_row(row: dict[str, Any]) -> None:
     extent = "all states" if row["complete"] else "part of the states"
     print(
         f"{row['name']:34} {row['states']:9} states, depth {row['depth']:3}, {row['seconds']:6} s, "
@@ -58,17 +58,17 @@
     visits = [Visit(name, is_planted, seconds) for name in names]
     rows = {}
     processes = int(options["--processes"])
-    for wanted, result in run_jobs(visit, visits, processes, seconds + DEADLINE_SLACK_S):
+    for requested, result in run_jobs(visit, visits, processes, seconds + DEADLINE_SLACK_S):
         if isinstance(result, Err):
-            print(f"{wanted.name}: {result.err_value.reason}\n{result.err_value.stacks}", flush=True)
+            print(f"{requested.name}: {result.err_value.reason}\n{result.err_value.stacks}", flush=True)
             continue
-        rows[wanted.name] = _row(wanted.name, result.ok_value)
-        _tell(rows[wanted.name])
+        rows[requested.name] = _row(requested.name, result.ok_value)
+        _print_row(rows[requested.name])
     if options["--result"]:
         ordered = [rows[name] for name in names if name in rows]
         Path(options["--result"]).write_text(json.dumps(ordered, indent=1) + "\n")
-    as_wanted = [(row["violation"] is not None) == is_planted for row in rows.values()]
-    return int(len(rows) < len(names) or not all(as_wanted))
+    as_expected = [(row["violation"] is not None) == is_planted for row in rows.values()]
+    return int(len(rows) < len(names) or not all(as_expected))
 
 
 def main() -> int:
--- a/benchmarks/control_model/actions.py
+++ b/benchmarks/control_model/actions.py
@@ -1,4 +1,4 @@
-"""The steps of the model. Each names the function of the program for which it stands."""
+"""The steps of the model. Docstrings name the function of the program that a step models."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from benchmarks.control_model.state import (
-    NOBODY,
+    NO_MEMBER,
     Attempt,
     Member,
     Members,
@@ -16,14 +16,14 @@
     State,
     Term,
     has_majorities,
-    replaced,
+    with_item,
 )
 
 Step = tuple[str, State]
 
 
 class Bounds(NamedTuple):
-    """How far the model goes, and which fault is planted in it."""
+    """Limits of the explored state space, the losses to tolerate, and the planted fault (empty for none)."""
 
     losses: int = 1
     most_epochs: int = 4
@@ -31,64 +31,64 @@
     planted: str = ""
 
     def copies(self, witnesses: int) -> int:
-        """`membership.copies_required`."""
+        """Models `membership.copies_required`."""
         return min(self.losses + 1, max(1, witnesses))
 
     def voters(self) -> int:
-        """`membership.witnesses_required`."""
+        """Models `membership.witnesses_required`."""
         return 2 * self.losses + 1
 
 
 def steps(state: State, bounds: Bounds) -> Iterator[Step]:
-    """Every state that one step leads to."""
+    """Yields the name and the resulting state of every step that is possible in a state."""
     for number, member in enumerate(state.members):
         if member.status == "up":
-            yield from _stand(state, number, bounds)
-            yield from _go_on(state, number, bounds)
-            yield from _lead(state, number, bounds)
-            yield from _leave(state, number, bounds)
-        yield from _trouble(state, number, bounds)
-    yield from _late_messages(state, bounds)
+            yield from _start_candidacy(state, number, bounds)
+            yield from _continue_attempt(state, number, bounds)
+            yield from _act_as_primary(state, number, bounds)
+            yield from _depart(state, number, bounds)
+        yield from _fail_or_restart(state, number, bounds)
+    yield from _deliver_late_messages(state, bounds)
 
 
 def _with_member(state: State, number: int, member: Member) -> State:
-    return state._replace(members=replaced(state.members, number, member))
+    return state._replace(members=with_item(state.members, number, member))
 
 
 def _with_attempt(state: State, number: int, attempt: Attempt | None) -> State:
-    return state._replace(attempts=replaced(state.attempts, number, attempt))
+    return state._replace(attempts=with_item(state.attempts, number, attempt))
 
 
 def _with_term(state: State, number: int, term: Term | None) -> State:
-    return state._replace(terms=replaced(state.terms, number, term))
+    return state._replace(terms=with_item(state.terms, number, term))
 
 
-# Standing and promising
+# Candidates and promises
 
 
-def _stand(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
-    """`Replica._stand_if_leaderless`: a witness asks itself first."""
+def _start_candidacy(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
+    """Models `Replica._stand_if_leaderless`: a witness gives the first promise itself."""
     member = state.members[number]
     if state.attempts[number] is not None or state.terms[number] is not None or member.leaving:
         return
     if member.record is None or number not in member.record.witnesses:
         return
     epoch = max((known.promised for known in state.members), default=0) + 1
-    if epoch > bounds.most_epochs or member.lease not in (NOBODY, number):
+    if epoch > bounds.most_epochs or member.lease not in (NO_MEMBER, number):
         return
-    yield f"{number} stands for epoch {epoch}", _begin(state, number, epoch, None, bounds)
+    yield f"{number} stands for epoch {epoch}", _begin_attempt(state, number, epoch, None, bounds)
 
 
-def _begin(
-    state: State, number: int, epoch: int, wanted: tuple[Members, Members] | None, bounds: Bounds
+def _begin_attempt(
+    state: State, number: int, epoch: int, target: tuple[Members, Members] | None, bounds: Bounds
 ) -> State:
     member = state.members[number]._replace(promised=epoch, promised_to=number)
     state = _with_member(state, number, member)
-    attempt = Attempt(epoch, (_answer(state, number),), None, (), frozenset(), frozenset(), wanted)
+    attempt = Attempt(epoch, (_promise_answer(state, number),), None, (), frozenset(), frozenset(), target)
     return _with_attempt(state, number, attempt)
 
 
-def _answer(
+def _promise_answer(
     state: State, number: int
 ) -> tuple[int, Record | None, bool, int, tuple[int, ...]]:
     member = state.members[number]
@@ -96,45 +96,45 @@
 
 
 def _promise(state: State, candidate: int, bounds: Bounds) -> Iterator[Step]:
-    """`GroupMember.prepare` at one more member, with the answer, or with the answer lost."""
+    """Models `GroupMember.prepare` at one more member, whose answer arrives or is lost."""
     attempt = state.attempts[candidate]
     assert attempt is not None
     told = {answer[0] for answer in attempt.answers}
-    for number in sorted(_known_to(state, candidate, attempt) - told):
+    for number in sorted(_members_to_ask(state, candidate, attempt) - told):
         member = state.members[number]
         if member.status != "up":
             continue
-        again = member.promised == attempt.epoch and member.promised_to == candidate
-        if member.promised >= attempt.epoch and not again:
+        is_repeated = member.promised == attempt.epoch and member.promised_to == candidate
+        if member.promised >= attempt.epoch and not is_repeated:
             continue
-        if member.lease not in (NOBODY, candidate) and bounds.planted != "witness without lease":
+        if member.lease not in (NO_MEMBER, candidate) and bounds.planted != "witness without lease":
             continue
-        changed = member._replace(promised=attempt.epoch, promised_to=candidate)
-        promised = _with_member(state, number, changed)
-        answers = (*attempt.answers, _answer(promised, number))
+        promised_member = member._replace(promised=attempt.epoch, promised_to=candidate)
+        promised = _with_member(state, number, promised_member)
+        answers = (*attempt.answers, _promise_answer(promised, number))
         yield (
             f"{number} promises epoch {attempt.epoch} to {candidate}",
             _with_attempt(promised, candidate, attempt._replace(answers=tuple(sorted(answers)))),
         )
-        if not again and state.drops:
+        if not is_repeated and state.drops:
             yield (
                 f"{number} promises epoch {attempt.epoch} to {candidate}, the answer is lost",
                 promised._replace(drops=state.drops - 1),
             )
 
 
-def _known_to(state: State, candidate: int, attempt: Attempt) -> Members:
-    """Whom the candidate asks: voters of each record it was told, newcomers, and members that leave."""
+def _members_to_ask(state: State, candidate: int, attempt: Attempt) -> Members:
+    """Returns the members to ask: voters of every record received, newcomers, and leaving members."""
     known: set[int] = set()
     for _, record, _, _, _ in attempt.answers:
         known.update(*(record.quorums if record is not None else ()))
-    if attempt.wanted is not None:
-        known |= attempt.wanted[1]
+    if attempt.target_membership is not None:
+        known |= attempt.target_membership[1]
     known |= {number for number, member in enumerate(state.members) if member.leaving}
     return frozenset(known)
 
 
-# From promises to the record
+# Composing the record from the promises
 
 
 def _newest(attempt: Attempt) -> Record | None:
@@ -142,8 +142,8 @@
     return max(records, key=lambda record: record.epoch) if records else None
 
 
-def superseding(attempt: Attempt, bounds: Bounds) -> tuple[Members, ...] | None:
-    """`EpochChange._found`: the quorums that promised enough, or None."""
+def superseded_quorums(attempt: Attempt, bounds: Bounds) -> tuple[Members, ...] | None:
+    """Models `EpochChange._found`: the quorums to supersede, or None if a majority of one is missing."""
     record = _newest(attempt)
     assert record is not None
     confirmed = any(
@@ -156,7 +156,7 @@
 
 
 def _sources(attempt: Attempt, record: Record, bounds: Bounds) -> list[tuple[int, tuple[int, ...]]]:
-    """`epochs._sources`: members of the newest record's group that hold its starting state."""
+    """Models `epochs._sources`: members of the newest record's group that have installed its starting log."""
     if bounds.planted == "state from anyone":
         return [(number, log) for number, _, _, _, log in attempt.answers]
     return [
@@ -167,15 +167,15 @@
 
 
 def _compose(state: State, candidate: int, bounds: Bounds) -> Iterator[Step]:
-    """`Replica._compose_same_witnesses` or `PrimaryTerm._try_epochs`, and the choice of the source."""
+    """Models `Replica._compose_same_witnesses` or `PrimaryTerm._try_epochs`, and the choice of the source."""
     attempt = state.attempts[candidate]
     assert attempt is not None
-    quorums = superseding(attempt, bounds)
+    quorums = superseded_quorums(attempt, bounds)
     record = _newest(attempt)
     if quorums is None or record is None:
         return
     granted = frozenset(answer[0] for answer in attempt.answers)
-    if attempt.wanted is None:
+    if attempt.target_membership is None:
         if candidate not in record.witnesses:
             return
         group, witnesses = record.witnesses & granted, record.witnesses
@@ -183,7 +183,7 @@
         term = state.terms[candidate]
         if term is None or record.epoch != term.record.epoch:
             return
-        group, witnesses = attempt.wanted[0] & granted, attempt.wanted[1]
+        group, witnesses = attempt.target_membership[0] & granted, attempt.target_membership[1]
     copies = bounds.copies(len(witnesses)) if bounds.planted != "one copy is enough" else 1
     sources = _sources(attempt, record, bounds)
     if candidate not in group or len(group) < copies or not sources:
@@ -201,7 +201,7 @@
 
 
 def install(state: State, number: int, record: Record, log: tuple[int, ...]) -> State | None:
-    """`GroupMember.install`."""
+    """Models `GroupMember.install`; None if the member rejects it or is not up."""
     member = state.members[number]
     if member.status != "up" or (member.promised, member.promised_to) != (record.epoch, record.primary):
         return None
@@ -209,7 +209,7 @@
 
 
 def accept(state: State, number: int, record: Record) -> State | None:
-    """`GroupMember.accept`: it grants the lease as well."""
+    """Models `GroupMember.accept`, which also grants the lease; None if the member does not accept."""
     member = state.members[number]
     if member.status != "up" or member.promised > record.epoch:
         return None
@@ -217,7 +217,7 @@
         return None
     if member.record == record:
         return state
-    changed = member._replace(
+    promised_member = member._replace(
         promised=record.epoch,
         promised_to=record.primary,
         record=record,
@@ -225,13 +225,13 @@
         confirmed_on_disk=False,
         lease=record.primary,
     )
-    return _with_member(state, number, changed)
+    return _with_member(state, number, promised_member)
 
 
 def append(
     state: State, number: int, record: Record, log: tuple[int, ...], bounds: Bounds
 ) -> State | None:
-    """`GroupMember.append`: one entry after exactly the log before it."""
+    """Models `GroupMember.append`: stores one entry if the log before it matches exactly, otherwise None."""
     member = state.members[number]
     if member.status != "up":
         return None
@@ -245,12 +245,12 @@
 
 
 def _establish(state: State, candidate: int, bounds: Bounds) -> Iterator[Step]:
-    """`EpochChange._install` and `_accept`, message by message."""
+    """Models `EpochChange._install` and `_accept`, one message a step."""
     attempt = state.attempts[candidate]
     assert attempt is not None and attempt.record is not None
     record = attempt.record
-    everywhere = attempt.installed == record.group
-    if not everywhere and bounds.planted != "accept before install":
+    is_installed = attempt.installed == record.group
+    if not is_installed and bounds.planted != "accept before install":
         for number in sorted(record.group - attempt.installed):
             after = install(state, number, record, attempt.start)
             if after is not None:
@@ -264,11 +264,11 @@
             done = attempt._replace(accepted=attempt.accepted | {number})
             yield f"{number} accepts epoch {record.epoch}", _with_attempt(after, candidate, done)
     if candidate in attempt.accepted and has_majorities(record.quorums, attempt.accepted):
-        yield f"epoch {record.epoch} is chosen, {candidate} leads", _chosen(state, candidate, record)
+        yield f"epoch {record.epoch} is chosen, {candidate} leads", _after_chosen(state, candidate, record)
 
 
-def _chosen(state: State, candidate: int, record: Record) -> State:
-    """`Replica._lead` or `PrimaryTerm._adopt`: what was appended before is committed by it."""
+def _after_chosen(state: State, candidate: int, record: Record) -> State:
+    """Models `Replica._lead` or `PrimaryTerm._adopt`: the chosen epoch commits what was appended before."""
     member = state.members[candidate]
     state = _with_member(state, candidate, member._replace(confirmed=True))
     state = _with_attempt(state, candidate, None)
@@ -276,8 +276,8 @@
     return state
 
 
-def _go_on(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
-    """The next step of an attempt, or its end with a message left on its way."""
+def _continue_attempt(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
+    """Yields the next steps of an attempt, and its end with or without a delayed message."""
     attempt = state.attempts[number]
     if attempt is None:
         return
@@ -286,12 +286,12 @@
         yield from _compose(state, number, bounds)
     else:
         yield from _establish(state, number, bounds)
-        yield from _give_up(state, number, attempt)
+        yield from _abandon_attempt(state, number, attempt)
     ended = _with_term(_with_attempt(state, number, None), number, None)
     yield f"{number} gives up epoch {attempt.epoch}", ended
 
 
-def _give_up(state: State, number: int, attempt: Attempt) -> Iterator[Step]:
+def _abandon_attempt(state: State, number: int, attempt: Attempt) -> Iterator[Step]:
     if not state.drops or attempt.record is None:
         return
     record = attempt.record
@@ -307,10 +307,10 @@
         )
 
 
-# Leading
+# Primary
 
 
-def _lead(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
+def _act_as_primary(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
     term = state.terms[number]
     if term is None:
         return
@@ -320,7 +320,7 @@
 
 
 def _heartbeats(state: State, number: int, term: Term, bounds: Bounds) -> Iterator[Step]:
-    """`PrimaryTerm.send_heartbeats` and `GroupMember.heartbeat`: all that grant, at once."""
+    """Models `PrimaryTerm.send_heartbeats` and `GroupMember.heartbeat`; all members grant in one step."""
     granted = [
         other
         for other in sorted(term.record.witnesses)
@@ -332,7 +332,7 @@
         granted = sorted(term.record.witnesses)
     if not has_majorities(term.record.quorums[-1:], frozenset(granted)):
         if term.active and bounds.planted != "primary without lease":
-            yield f"the lease of {number} ends", _lease_ends(state, number)
+            yield f"the lease of {number} ends", _after_lease_end(state, number)
         return
     after = state
     for other in granted:
@@ -343,32 +343,32 @@
     if after != state:
         yield f"{number} has its lease, {granted} know that epoch {term.record.epoch} is chosen", after
     if term.active:
-        yield f"the lease of {number} ends", _lease_ends(state, number)
+        yield f"the lease of {number} ends", _after_lease_end(state, number)
 
 
-def acts(state: State, number: int) -> bool:
-    """`PrimaryTerm.has_lease`: a lease that runs, and no promise or acceptance of another's epoch."""
+def can_act(state: State, number: int) -> bool:
+    """Models `PrimaryTerm.has_lease`: an unexpired lease and no promise for another's epoch."""
     term = state.terms[number]
     return term is not None and term.active and state.members[number].promised_to == number
 
 
-def _lease_ends(state: State, number: int) -> State:
-    """First at the primary, which counts from before; the witnesses' grants end with it or later."""
+def _after_lease_end(state: State, number: int) -> State:
+    """Ends the lease at the primary first: it counts from before the grants, which end then or later."""
     term = state.terms[number]
     assert term is not None
     after = _with_term(state, number, term._replace(active=False))
     members = tuple(
-        member._replace(lease=NOBODY) if member.lease == number else member for member in after.members
+        member._replace(lease=NO_MEMBER) if member.lease == number else member for member in after.members
     )
     return after._replace(members=members)
 
 
 def _write(state: State, number: int, term: Term, bounds: Bounds) -> Iterator[Step]:
-    """`PrimaryTerm._commit`: own disk first, then each of the group; committed once all have it."""
+    """Models `PrimaryTerm._commit`: the primary stores first, then the group; all must store."""
     member = state.members[number]
     epoch = term.record.epoch
     if term.appending is None:
-        if acts(state, number) and len(member.log) < bounds.most_entries:
+        if can_act(state, number) and len(member.log) < bounds.most_entries:
             log = (*member.log, epoch)
             after = append(state, number, term.record, log, bounds)
             if after is not None:
@@ -391,17 +391,20 @@
     enough = term.appending == term.record.group
     if bounds.planted == "commit without backups":
         enough = True
-    if enough and acts(state, number):
+    if enough and can_act(state, number):
         after = state._replace(committed=member.log)
         done = _with_term(after, number, term._replace(appending=None))
         yield f"{number} acknowledges the entry of epoch {epoch}", done
 
 
 def _change_members(state: State, number: int, term: Term, bounds: Bounds) -> Iterator[Step]:
-    """`membership.next_membership`: newcomers in, those that leave or are lost out, never too few."""
+    """Models `membership.next_membership`: adds newcomers, removes leaving or lost members.
+
+    Never removes more members than the required copies and witnesses allow.
+    """
     if state.attempts[number] is not None or term.record.epoch >= bounds.most_epochs:
         return
-    if not acts(state, number):
+    if not can_act(state, number):
         return
     voters = set(term.record.witnesses)
     newcomers = {
@@ -414,63 +417,69 @@
     epoch = max(member.promised for member in state.members) + 1
     if epoch > bounds.most_epochs:
         return
-    for target in _wanted_memberships(state, number, voters | newcomers, leaving, lost, bounds):
-        group, wanted = target
-        if len(group) < bounds.copies(len(wanted)):
+    for target in _target_memberships(state, number, voters | newcomers, leaving, lost, bounds):
+        group, witnesses = target
+        if len(group) < bounds.copies(len(witnesses)):
             continue
         if target == (term.record.group, term.record.witnesses) and term.appending is None:
             continue
-        begun = _begin(state, number, epoch, target, bounds)
+        begun = _begin_attempt(state, number, epoch, target, bounds)
         begun = _with_term(begun, number, term._replace(appending=None))
-        yield f"{number} changes to voters {sorted(wanted)}, group {sorted(group)} by epoch {epoch}", begun
+        yield f"{number} changes to voters {sorted(witnesses)}, group {sorted(group)} by epoch {epoch}", begun
 
 
-def _wanted_memberships(
+def _target_memberships(
     state: State, number: int, everyone: set[int], leaving: set[int], lost: set[int], bounds: Bounds
 ) -> set[tuple[Members, Members]]:
-    """Group and voters as the primary may want them: of several that leave, or are lost, any goes first."""
+    """Returns each possible target group and witnesses: leaving or lost members are removed in any order."""
     found: set[tuple[Members, Members]] = set()
-    for leavers in permutations(sorted(leaving)):
-        for silent in permutations(sorted(lost - leaving)):
-            wanted = set(everyone)
-            for other in (*leavers, *silent):
-                if len(wanted) > bounds.voters() and other != number:
-                    wanted.discard(other)
-            group = {other for other in wanted if state.members[other].status == "up"}
-            for other in leavers:
-                if other in group and len(group) > bounds.copies(len(wanted)):
+    for leaving_order in permutations(sorted(leaving)):
+        for lost_order in permutations(sorted(lost - leaving)):
+            remaining = set(everyone)
+            for other in (*leaving_order, *lost_order):
+                if len(remaining) > bounds.voters() and other != number:
+                    remaining.discard(other)
+            group = {other for other in remaining if state.members[other].status == "up"}
+            for other in leaving_order:
+                if other in group and len(group) > bounds.copies(len(remaining)):
                     group.discard(other)
             if number in group:
-                found.add((frozenset(group), frozenset(wanted)))
+                found.add((frozenset(group), frozenset(remaining)))
     return found
 
 
-# Leaving
+# Planned departures
 
 
-def secured(state: State, record: Record, bounds: Bounds) -> bool:
-    """`PrimaryTerm.is_secured`."""
-    knowing = [
+def is_secured(state: State, record: Record, bounds: Bounds) -> bool:
+    """Models `PrimaryTerm.is_secured`: enough remaining witnesses persist that the record is chosen."""
+    confirmed_witnesses = [
         other
         for other in record.witnesses
         if state.members[other].record == record
         and state.members[other].confirmed_on_disk
         and not state.members[other].leaving
     ]
-    return len(knowing) >= bounds.copies(len(record.witnesses))
+    return len(confirmed_witnesses) >= bounds.copies(len(record.witnesses))
+
 
+def _depart(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
+    """Models `Replica.stop`: a final SIGTERM, and the end of the process once a primary releases the member.
 
-def _leave(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
-    """`Replica.stop`: SIGTERM for good, once a newcomer is a voter; the end, once the primary releases it."""
+    The model stops a member only while there are more witnesses than required and all of them are up.
+    """
     member = state.members[number]
     if not member.leaving:
         record = member.record
-        whole = record is not None and len(record.witnesses) > bounds.voters()
-        settled = whole and all(state.members[other].status == "up" for other in record.witnesses)  # type: ignore[union-attr]
-        if state.leaves and settled and number in record.witnesses:  # type: ignore[union-attr]
+        has_spare_witness = record is not None and len(record.witnesses) > bounds.voters()
+        can_stop = has_spare_witness and all(
+            state.members[other].status == "up"
+            for other in record.witnesses  # type: ignore[union-attr]
+        )
+        if state.leaves and can_stop and number in record.witnesses:  # type: ignore[union-attr]
             told = _with_term(_with_attempt(state, number, None), number, None)
             leases = tuple(
-                other._replace(lease=NOBODY) if other.lease == number else other for other in told.members
+                other._replace(lease=NO_MEMBER) if other.lease == number else other for other in told.members
             )
             told = told._replace(members=leases, leaves=state.leaves - 1)
             yield (
@@ -478,48 +487,51 @@
                 _with_member(told, number, told.members[number]._replace(leaving=True)),
             )
         return
-    gone = Member("gone", 0, NOBODY, None, False, False, 0, (), NOBODY, False)
+    gone = Member("gone", 0, NO_MEMBER, None, False, False, 0, (), NO_MEMBER, False)
     if bounds.planted == "ends at once":
         yield f"{number} ends without a release", _with_member(state, number, gone)
         return
     for leader, term in enumerate(state.terms):
         if term is None or state.attempts[leader] is not None or number in term.record.witnesses:
             continue
-        if secured(state, term.record, bounds) or bounds.planted == "released before it is known":
+        if is_secured(state, term.record, bounds) or bounds.planted == "released before it is known":
             yield f"{leader} releases {number}, which ends", _with_member(state, number, gone)
 
 
-# Trouble
+# Failures, restarts and arrivals
 
 
-def _trouble(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
+def _fail_or_restart(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
     member = state.members[number]
     if member.status == "up":
         if member.confirmed and not member.confirmed_on_disk:
             flushed = member._replace(confirmed_on_disk=True)
             yield f"{number} syncs that its record is chosen", _with_member(state, number, flushed)
         if state.crashes:
-            yield f"{number} loses power", _ended(state, number, bounds)._replace(crashes=state.crashes - 1)
+            yield (
+                f"{number} loses power",
+                _after_process_end(state, number, bounds)._replace(crashes=state.crashes - 1),
+            )
         if state.wipes and not member.leaving:
-            yield from _wipe(state, number, bounds)
+            yield from _lose_disk(state, number, bounds)
         if member.record is None and member.promised == 0:
             return
     if member.status == "absent" and state.arrivals:
-        new = Member("up", 0, NOBODY, None, False, False, 0, (), NOBODY, False)
+        new = Member("up", 0, NO_MEMBER, None, False, False, 0, (), NO_MEMBER, False)
         arrived = _with_member(state, number, new)._replace(arrivals=state.arrivals - 1)
         yield f"{number} comes with an empty disk", arrived
     if member.status == "down":
         record = member.record
-        lease = record.primary if record is not None else NOBODY
+        lease = record.primary if record is not None else NO_MEMBER
         if bounds.planted == "no lease after a restart":
-            lease = NOBODY
+            lease = NO_MEMBER
         back = member._replace(status="up", lease=lease)
         yield f"{number} starts again", _with_member(state, number, back)
-        if lease != NOBODY and not _is_active(state, lease):
-            waited = member._replace(status="up", lease=NOBODY)
+        if lease != NO_MEMBER and not _is_active(state, lease):
+            waited = member._replace(status="up", lease=NO_MEMBER)
             yield f"{number} starts again and waits out a lease", _with_member(state, number, waited)
-    if member.status == "up" and member.lease != NOBODY and not _is_active(state, member.lease):
-        free = _with_member(state, number, member._replace(lease=NOBODY))
+    if member.status == "up" and member.lease != NO_MEMBER and not _is_active(state, member.lease):
+        free = _with_member(state, number, member._replace(lease=NO_MEMBER))
         yield f"the lease that {number} granted ends", free
 
 
@@ -528,36 +540,38 @@
     return term is not None and term.active
 
 
-def _ended(state: State, number: int, bounds: Bounds) -> State:
-    """The process ends: what was not synced is gone."""
+def _after_process_end(state: State, number: int, bounds: Bounds) -> State:
+    """Returns the state after the process has ended; unsynced data is lost."""
     member = state.members[number]
-    kept = member._replace(status="down", confirmed=member.confirmed_on_disk, lease=NOBODY)
+    kept = member._replace(status="down", confirmed=member.confirmed_on_disk, lease=NO_MEMBER)
     if bounds.planted == "promise in memory":
         known = member.record.epoch if member.record is not None else 0
-        owner = member.record.primary if member.record is not None else NOBODY
+        owner = member.record.primary if member.record is not None else NO_MEMBER
         kept = kept._replace(promised=known, promised_to=owner)
     after = _with_member(state, number, kept)
     return _with_term(_with_attempt(after, number, None), number, None)
 
 
-def _wipe(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
-    """The disk is lost; the machine comes back as a new identity, if the model has one left."""
-    gone = Member("gone", 0, NOBODY, None, False, False, 0, (), NOBODY, False)
+def _lose_disk(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
+    """Yields the loss of a disk; the node returns with a new identity if the model has an unused one."""
+    gone = Member("gone", 0, NO_MEMBER, None, False, False, 0, (), NO_MEMBER, False)
     after = _with_member(state, number, gone)._replace(wipes=state.wipes - 1)
     after = _with_term(_with_attempt(after, number, None), number, None)
     if bounds.planted == "no amnesia guard":
-        forgot = Member("up", 0, NOBODY, state.members[number].record, False, False, 0, (), NOBODY, False)
+        forgot = Member(
+            "up", 0, NO_MEMBER, state.members[number].record, False, False, 0, (), NO_MEMBER, False
+        )
         yield f"{number} forgets everything", _with_member(after, number, forgot)
         return
     for fresh, member in enumerate(after.members):
         if member.status == "absent":
-            new = Member("up", 0, NOBODY, None, False, False, 0, (), NOBODY, False)
+            new = Member("up", 0, NO_MEMBER, None, False, False, 0, (), NO_MEMBER, False)
             yield f"{number} loses its disk and comes back as {fresh}", _with_member(after, fresh, new)
             return
     yield f"{number} is lost for good", after
 
 
-def _late_messages(state: State, bounds: Bounds) -> Iterator[Step]:
+def _deliver_late_messages(state: State, bounds: Bounds) -> Iterator[Step]:
     for message in sorted(state.late):
         if message.kind == "accept":
             after = accept(state, message.receiver, message.record)
--- a/benchmarks/control_model/checker.py
+++ b/benchmarks/control_model/checker.py
@@ -1,4 +1,4 @@
-"""Visits every state that can be reached within bounds, breadth first, and keeps the way to each."""
+"""Breadth-first model checker: visits every state reachable within bounds and records a path to each."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from benchmarks.control_model.actions import Bounds, steps
 from benchmarks.control_model.invariants import violation
-from benchmarks.control_model.state import NOBODY, Member, Record, State, Term
+from benchmarks.control_model.state import NO_MEMBER, Member, Record, State, Term
 from benchmarks.control_model.symmetry import canonical
 
 
 @dataclass(slots=True)
 class Result:
-    """What a run visited, and the shortest way to a broken promise."""
+    """The extent of a run and, if an invariant was violated, the shortest path to the violation."""
 
     states: int
     depth: int
@@ -26,25 +26,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """How a run begins and how much trouble it has."""
+    """The initial members of a run and the number of failures of each kind that may occur."""
 
     members: int = 3
     newcomers: int = 1
-    joined: bool = False  # whether the first newcomer is a voter from the start
+    newcomer_joined: bool = False  # whether the first newcomer is a voter in the initial state
     crashes: int = 1
     wipes: int = 1
     leaves: int = 0
     drops: int = 0
-    arrivals: int = 0  # newcomers that come though no disk was lost
+    arrivals: int = 0  # newcomers that start although no disk has been lost
 
 
-def initial(scenario: Scenario) -> State:
-    """Epoch 1, known to all to be chosen, with its lease; newcomers are absent until a disk is lost."""
+def initial_state(scenario: Scenario) -> State:
+    """Returns the initial state: epoch 1 is chosen, confirmed everywhere and leased; newcomers are absent."""
     total = scenario.members + scenario.newcomers
-    voters = frozenset(range(scenario.members + int(scenario.joined)))
+    voters = frozenset(range(scenario.members + int(scenario.newcomer_joined)))
     record = Record(1, 0, voters, (voters,))
     voter = Member("up", 1, 0, record, True, True, 1, (), 0, False)
-    absent = Member("absent", 0, NOBODY, None, False, False, 0, (), NOBODY, False)
+    absent = Member("absent", 0, NO_MEMBER, None, False, False, 0, (), NO_MEMBER, False)
     members = tuple(voter if number in voters else absent for number in range(total))
     terms = (Term(record, True, None), *(None for _ in range(total - 1)))
     return State(
@@ -66,69 +66,70 @@
     bounds: Bounds,
     most_states: int = 20_000_000,
     seconds: float = 600.0,
-    symmetric: bool = True,
+    use_symmetry: bool = True,
 ) -> Result:
-    """Visit states until all are seen, a promise is broken, or a bound is reached.
+    """Visits states until all have been visited, an invariant is violated, or a limit is reached.
 
-    With `symmetric`, of states that differ only in the numbers of members one is visited. Visited states are
-    kept as 64-bit hashes: with ten million of them the chance that two share one, so that a state is passed
-    over, is about 3 in a million.
+    With `use_symmetry`, only one of the states that differ merely in the numbering of members is visited.
+    Visited states are kept as 64-bit hashes: with ten million of them the probability of a collision, by
+    which a state would be skipped, is about 3 in a million.
     """
     started = time.monotonic()
-    form = canonical if symmetric else _as_it_is
-    first = initial(scenario)
-    start = form(first)
+    normalize = canonical if use_symmetry else _unchanged
+    first = initial_state(scenario)
+    start = normalize(first)
     parents: dict[int, int] = {hash(start): 0}
-    formed: set[int] = set()  # hashes of states as steps made them: most come again, and their form is known
+    # Hashes of states before normalization: most occur again and need not be normalized twice.
+    seen_hashes: set[int] = set()
     frontier = [start]
     depth = 0
     while frontier:
-        following = []
+        next_frontier = []
         for state in frontier:
-            origin = hash(state)
+            parent_key = hash(state)
             for _, step in steps(state, bounds):
-                made = hash(step)
-                if made in formed:
+                step_hash = hash(step)
+                if step_hash in seen_hashes:
                     continue
-                formed.add(made)
-                after = form(step)
+                seen_hashes.add(step_hash)
+                after = normalize(step)
                 key = hash(after)
                 if key in parents:
                     continue
-                parents[key] = origin
-                broken = violation(after, bounds)
-                if broken is not None:
-                    trace, broken = _replay(first, _way(parents, key), bounds, form)
-                    spent = time.monotonic() - started
-                    return Result(len(parents), depth + 1, spent, False, broken, trace)
-                following.append(after)
+                parents[key] = parent_key
+                violated = violation(after, bounds)
+                if violated is not None:
+                    trace, violated = _replay(first, _path_to(parents, key), bounds, normalize)
+                    elapsed_s = time.monotonic() - started
+                    return Result(len(parents), depth + 1, elapsed_s, False, violated, trace)
+                next_frontier.append(after)
             if len(parents) >= most_states or time.monotonic() - started > seconds:
                 return Result(len(parents), depth + 1, time.monotonic() - started, False)
-        frontier = following
+        frontier = next_frontier
         depth += bool(frontier)
     return Result(len(parents), depth, time.monotonic() - started, True)
 
 
-def _as_it_is(state: State) -> State:
+def _unchanged(state: State) -> State:
     return state
 
 
-def _way(parents: dict[int, int], key: int) -> list[int]:
-    """The hashes of the states on the way to one, without the first."""
-    way = []
+def _path_to(parents: dict[int, int], key: int) -> list[int]:
+    """Returns the hashes of the states on the path to a state, without the initial one."""
+    path = []
     while parents[key]:
-        way.append(key)
+        path.append(key)
         key = parents[key]
-    return way[::-1]
+    return path[::-1]
 
 
 def _replay(
-    first: State, way: list[int], bounds: Bounds, form: Callable[[State], State]
+    first: State, path: list[int], bounds: Bounds, normalize: Callable[[State], State]
 ) -> tuple[tuple[str, ...], str | None]:
-    """The names of the steps of a way with the numbers that members have from the start, and what broke."""
+    """Returns the step names of a path, with the initial numbering of members, and the violated invariant."""
     names = []
     state = first
-    for key in way:
-        name, state = next(step for step in steps(state, bounds) if hash(form(step[1])) == key)
+    for key in path:
+        name, state = next(step for step in steps(state, bounds) if hash(normalize(step[1])) == key)
         names.append(name)
     return tuple(names), violation(state, bounds)
--- a/benchmarks/control_model/playing.py
+++ b/benchmarks/control_model/playing.py
@@ -1,4 +1,4 @@
-"""What the processes of the model's benchmark do: visit the states of one scenario."""
+"""The job of a worker process of the model checker: visits the states of one scenario."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Visit:
-    """A scenario by its name, clean or with a planted fault, and for how long it is visited at most."""
+    """The name of a scenario, whether it has a planted fault, and the time limit in seconds."""
 
     name: str
     is_planted: bool
     seconds: float
 
 
-def visit(wanted: Visit) -> Result:
-    """Visit the states of a scenario."""
-    if wanted.is_planted:
-        scenario, epochs = PLANTED[wanted.name]
-        bounds = Bounds(most_epochs=epochs, planted=wanted.name)
+def visit(requested: Visit) -> Result:
+    """Visits the states of a scenario."""
+    if requested.is_planted:
+        scenario, epochs = PLANTED[requested.name]
+        bounds = Bounds(most_epochs=epochs, planted=requested.name)
     else:
-        scenario, bounds = CLEAN[wanted.name]
-    return check(scenario, bounds, seconds=wanted.seconds)
+        scenario, bounds = CLEAN[requested.name]
+    return check(scenario, bounds, seconds=requested.seconds)
--- a/benchmarks/control_model/scenarios.py
+++ b/benchmarks/control_model/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios that are checked, and the faults that are planted with the scenario that shows each."""
+"""The checked scenarios without a fault, and for each planted fault the scenario that exposes it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 _NO_DISK_LOST = Scenario(wipes=0, newcomers=0)
 _A_DISK_LOST = Scenario()
-_LEAVING = Scenario(joined=True, newcomers=2, crashes=0, wipes=1, leaves=1)
+_LEAVING = Scenario(newcomer_joined=True, newcomers=2, crashes=0, wipes=1, leaves=1)
 
 CLEAN: dict[str, tuple[Scenario, Bounds]] = {
     "3 / 1, a crash": (_NO_DISK_LOST, Bounds(most_epochs=3)),
@@ -28,7 +28,7 @@
         Bounds(losses=2, most_epochs=2, most_entries=0),
     ),
     "3 / 1, a fourth, one leaves, a crash": (
-        Scenario(joined=True, newcomers=1, crashes=1, wipes=0, leaves=1),
+        Scenario(newcomer_joined=True, newcomers=1, crashes=1, wipes=0, leaves=1),
         Bounds(most_epochs=2),
     ),
     "3 / 1, a fourth comes, one leaves": (
@@ -41,7 +41,7 @@
     ),
 }
 
-# By fault: the scenario, and how many epochs it takes.
+# For each fault: the scenario, and the number of epochs that exposing it takes.
 PLANTED: dict[str, tuple[Scenario, int]] = {
     "ends at once": (_LEAVING, 2),
     "released before it is known": (_LEAVING, 2),
--- a/benchmarks/control_model/state.py
+++ b/benchmarks/control_model/state.py
@@ -1,7 +1,7 @@
-"""The state of the model: members with what is on their disks, attempts at new epochs, and late messages.
+"""The state of the model: members with their persisted state, attempts at new epochs, and delayed messages.
 
-Members are numbers: the identities of disks. Everything is a tuple or a frozen set, so that states can be
-compared and kept in a set.
+A member is a number, which is the identity of its disk. All values are tuples or frozen sets, so that states
+can be compared and hashed.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from typing import NamedTuple
 
 Members = frozenset[int]
-NOBODY = -1
+NO_MEMBER = -1
 
 
 class Record(NamedTuple):
-    """`replication.records.EpochRecord`: quorums are sets of voters, the last one is the witnesses."""
+    """Models `replication.records.EpochRecord`; the last of `quorums` (sets of voters) is the witnesses."""
 
     epoch: int
     primary: int
@@ -22,74 +22,76 @@
 
     @property
     def witnesses(self) -> Members:
-        """The voters that decide what follows."""
+        """The voters that decide on the next epoch."""
         return self.quorums[-1]
 
 
 class Member(NamedTuple):
-    """One disk and its process. `status`: absent, up, down, or gone for good."""
+    """One disk and its process. `status` is "absent", "up", "down" or "gone" (permanently lost)."""
 
     status: str
     promised: int
     promised_to: int
     record: Record | None
-    confirmed: bool  # known to be chosen, in memory
+    confirmed: bool  # whether the process knows, in memory, that its record is chosen
     confirmed_on_disk: bool
-    installed: int  # the epoch whose starting state is on the disk
-    log: tuple[int, ...]  # the epochs in which its entries were written
-    lease: int  # to whom it grants the lease, or NOBODY
-    leaving: bool  # it was told to end and asks to be removed
+    installed: int  # the epoch whose starting log is on the disk
+    log: tuple[int, ...]  # the epoch in which each entry was written
+    lease: int  # the member to which it grants the lease, or NO_MEMBER
+    leaving: bool  # whether it has been asked to stop and requests its removal
 
 
 class Attempt(NamedTuple):
-    """A candidate's or primary's attempt at a new epoch (`replication.epochs.EpochChange`)."""
+    """An attempt of a candidate or primary to start a new epoch (models `replication.epochs.EpochChange`)."""
 
     epoch: int
-    answers: tuple[tuple[int, Record | None, bool, int, tuple[int, ...]], ...]  # who promised, and its image
-    record: Record | None  # once composed
-    start: tuple[int, ...]  # the log with which the epoch starts
+    # For each member that promised: its number, record, `confirmed`, `installed` and log.
+    answers: tuple[tuple[int, Record | None, bool, int, tuple[int, ...]], ...]
+    record: Record | None  # None until the attempt has composed its record
+    start: tuple[int, ...]  # the log from which the epoch starts
     installed: Members
     accepted: Members
-    wanted: tuple[Members, Members] | None  # of a primary: group and witnesses
+    # Group and witnesses to which a primary changes; None for a candidate.
+    target_membership: tuple[Members, Members] | None
 
 
 class Message(NamedTuple):
-    """A message that is late: it may arrive at any time, or never."""
+    """A delayed message, which may arrive at any time or never."""
 
-    kind: str  # install, accept or append
+    kind: str  # "install", "accept" or "append"
     receiver: int
     record: Record
     log: tuple[int, ...]
 
 
 class Term(NamedTuple):
-    """A primary's term (`replication.primary.PrimaryTerm`)."""
+    """The term of a primary (models `replication.primary.PrimaryTerm`)."""
 
     record: Record
-    active: bool  # it knows a majority of leases
-    appending: Members | None  # the members that stored the entry under way, or None
+    active: bool  # whether it holds leases of a majority
+    appending: Members | None  # the members that have stored the entry being committed; None without one
 
 
 class State(NamedTuple):
-    """Everything."""
+    """A state of the whole system, with the numbers of failures that may still occur."""
 
     members: tuple[Member, ...]
     attempts: tuple[Attempt | None, ...]
     terms: tuple[Term | None, ...]
     late: frozenset[Message]
-    committed: tuple[int, ...]  # the longest log that was acknowledged
-    crashes: int  # that may still come
+    committed: tuple[int, ...]  # the longest log that has been acknowledged
+    crashes: int  # crashes that may still occur
     wipes: int  # disks that may still be lost
-    leaves: int  # members that may still be told to end
-    drops: int  # late messages that may still be made
-    arrivals: int = 0  # newcomers that may still come though no disk was lost
+    leaves: int  # members that may still be asked to stop
+    drops: int  # messages that may still be delayed or lost
+    arrivals: int = 0  # newcomers that may still start although no disk has been lost
 
 
 def has_majorities(quorums: tuple[Members, ...], votes: Members) -> bool:
-    """Whether the votes hold a majority of every set."""
+    """Returns whether the votes contain a majority of every quorum set."""
     return all(2 * len(quorum & votes) > len(quorum) for quorum in quorums)
 
 
-def replaced(items: tuple, index: int, item: object) -> tuple:  # type: ignore[type-arg]
-    """The tuple with another item at an index."""
+def with_item(items: tuple, index: int, item: object) -> tuple:  # type: ignore[type-arg]
+    """Returns a copy of the tuple with the item at `index` replaced."""
     return (*items[:index], item, *items[index + 1 :])
--- a/benchmarks/control_model/symmetry.py
+++ b/benchmarks/control_model/symmetry.py
@@ -1,9 +1,9 @@
-"""One form for all states that differ only in which member has which number.
+"""Symmetry reduction: one canonical form for all states that differ only in the numbering of members.
 
-Members are interchangeable in the model: no step looks at a number but to compare it with another. So of the
-states that renumbering makes of one another only one is visited. Members are put in the order of what can be
-told of each without a number; where that ties, the order they have is kept, which costs a state visited twice
-and is never wrong.
+Members are interchangeable in the model: a step uses a member's number only to compare it with another. So of
+the states that are renumberings of each other only one has to be visited. Members are sorted by a signature
+that does not depend on their numbers. Ties keep the existing order: a state may then be visited more than
+once, but no state is skipped.
 """
 
 from __future__ import annotations
@@ -11,54 +11,55 @@
 from collections import Counter
 from typing import Any
 
-from benchmarks.control_model.state import NOBODY, Attempt, Members, Record, State, Term
+from benchmarks.control_model.state import NO_MEMBER, Attempt, Members, Record, State, Term
 
-Order = list[int]  # the new number of each old one, with NOBODY's own at the end, where index -1 finds it
+# New numbers by old number. The last item is NO_MEMBER, so that index NO_MEMBER (-1) yields NO_MEMBER.
+Renumbering = list[int]
 
 
 def canonical(state: State) -> State:
-    """The state with its members in the order of what can be told of them."""
+    """Returns the state with its members sorted by their signatures."""
     total = len(state.members)
-    marks: list[tuple[Any, ...]] = [_own_mark(state, number) for number in range(total)]
-    if len(set(marks)) < total:
-        seen = Counter(marks)
-        marks = [
-            (mark, _relations(state, number)) if seen[mark] > 1 else (mark, ())
-            for number, mark in enumerate(marks)
+    signatures: list[tuple[Any, ...]] = [_own_signature(state, number) for number in range(total)]
+    if len(set(signatures)) < total:
+        seen = Counter(signatures)
+        signatures = [
+            (signature, _relation_signature(state, number)) if seen[signature] > 1 else (signature, ())
+            for number, signature in enumerate(signatures)
         ]
-    ordered = sorted(range(total), key=marks.__getitem__)
+    ordered = sorted(range(total), key=signatures.__getitem__)
     if ordered == list(range(total)):
         return state
-    order = [0] * total + [NOBODY]
+    renumbering = [0] * total + [NO_MEMBER]
     for new, old in enumerate(ordered):
-        order[old] = new
-    return renumbered(state, order)
+        renumbering[old] = new
+    return renumbered(state, renumbering)
 
 
-def _own_mark(state: State, number: int) -> tuple[Any, ...]:
-    """What can be told of a member by itself, without a number."""
+def _own_signature(state: State, number: int) -> tuple[Any, ...]:
+    """Returns the signature of a member's own state, without any member's number."""
     member, attempt, term = state.members[number], state.attempts[number], state.terms[number]
     record = member.record
     return (
         member.status,
         member.promised,
         member.promised_to == number,
-        member.promised_to == NOBODY,
+        member.promised_to == NO_MEMBER,
         member.installed,
         member.log,
         member.confirmed,
         member.confirmed_on_disk,
         member.leaving,
         member.lease == number,
-        member.lease == NOBODY,
+        member.lease == NO_MEMBER,
         () if record is None else (record.epoch, record.primary == number, number in record.group),
         () if attempt is None else (attempt.epoch, len(attempt.answers), attempt.record is not None),
         () if term is None else (term.record.epoch, term.active),
     )
 
 
-def _relations(state: State, number: int) -> tuple[Any, ...]:
-    """What the others have to do with a member, without a number."""
+def _relation_signature(state: State, number: int) -> tuple[Any, ...]:
+    """Returns the signature of the relations of other members to a member, without any number."""
     attempts = sorted(
         (
             other.epoch,
@@ -74,14 +75,14 @@
         tuple(attempts),
         sum(other.lease == number for other in state.members),
         sum(other.promised_to == number for other in state.members),
-        tuple(sorted((other.epoch, _part(other, number)) for other in records)),
+        tuple(sorted((other.epoch, _roles_in_record(other, number)) for other in records)),
         sum(other is not None and number in (other.appending or ()) for other in state.terms),
         sum(message.receiver == number for message in state.late),
     )
 
 
-def _part(record: Record, number: int) -> tuple[bool, ...]:
-    """The part of a member in a record."""
+def _roles_in_record(record: Record, number: int) -> tuple[bool, ...]:
+    """Returns the roles of a member in a record."""
     return (
         record.primary == number,
         number in record.group,
@@ -89,12 +90,12 @@
     )
 
 
-def renumbered(state: State, order: Order) -> State:
-    """The state after every member got a new number."""
+def renumbered(state: State, renumbering: Renumbering) -> State:
+    """Returns the state with the members renumbered."""
     records: dict[Record, Record] = {}
 
     def numbers(members: Members) -> Members:
-        return frozenset([order[number] for number in members])
+        return frozenset([renumbering[number] for number in members])
 
     def record_of(record: Record | None) -> Record | None:
         if record is None:
@@ -103,7 +104,7 @@
         if known is None:
             known = records[record] = Record(
                 record.epoch,
-                order[record.primary],
+                renumbering[record.primary],
                 numbers(record.group),
                 tuple([numbers(quorum) for quorum in record.quorums]),
             )
@@ -114,12 +115,12 @@
             return None
         answers = sorted(
             [
-                (order[number], record_of(record), confirmed, installed, log)
+                (renumbering[number], record_of(record), confirmed, installed, log)
                 for number, record, confirmed, installed, log in attempt.answers
             ],
             key=lambda answer: answer[0],
         )
-        wanted = attempt.wanted
+        target = attempt.target_membership
         return Attempt(
             attempt.epoch,
             tuple(answers),
@@ -127,7 +128,7 @@
             attempt.start,
             numbers(attempt.installed),
             numbers(attempt.accepted),
-            None if wanted is None else (numbers(wanted[0]), numbers(wanted[1])),
+            None if target is None else (numbers(target[0]), numbers(target[1])),
         )
 
     def term_of(term: Term | None) -> Term | None:
@@ -137,24 +138,24 @@
         assert record is not None
         return Term(record, term.active, None if term.appending is None else numbers(term.appending))
 
-    olds = sorted(range(len(state.members)), key=order.__getitem__)
+    old_numbers = sorted(range(len(state.members)), key=renumbering.__getitem__)
     members = tuple(
         [
             state.members[old]._replace(
-                promised_to=order[state.members[old].promised_to],
-                lease=order[state.members[old].lease],
+                promised_to=renumbering[state.members[old].promised_to],
+                lease=renumbering[state.members[old].lease],
                 record=record_of(state.members[old].record),
             )
-            for old in olds
+            for old in old_numbers
         ]
     )
     late = frozenset(
-        message._replace(receiver=order[message.receiver], record=record_of(message.record))
+        message._replace(receiver=renumbering[message.receiver], record=record_of(message.record))
         for message in state.late
     )
     return state._replace(
         members=members,
-        attempts=tuple([attempt_of(state.attempts[old]) for old in olds]),
-        terms=tuple([term_of(state.terms[old]) for old in olds]),
+        attempts=tuple([attempt_of(state.attempts[old]) for old in old_numbers]),
+        terms=tuple([term_of(state.terms[old]) for old in old_numbers]),
         late=late,
     )
--- a/tests/system/test_control_model.py
+++ b/tests/system/test_control_model.py
@@ -1,4 +1,4 @@
-"""The model of epochs and membership: clean within small bounds, and each planted fault has its trace."""
+"""The model checker finds no violation within small bounds, and a trace for each planted fault."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from benchmarks.control_model.checker import Scenario, check
 from benchmarks.control_model.scenarios import PLANTED
 
-ENOUGH_STATES = 600_000
+MAX_STATES = 600_000
 
 
 @pytest.mark.parametrize(
@@ -19,7 +19,7 @@
     ],
     ids=["a crash", "a lost disk"],
 )
-def test_given_three_members_and_little_trouble_then_every_state_keeps_every_promise(
+def test_given_three_members_and_one_failure_then_every_state_satisfies_the_invariants(
     scenario: Scenario,
 ) -> None:
     result = check(scenario, Bounds(most_epochs=2))
@@ -28,8 +28,8 @@
 
 
 @pytest.mark.parametrize("fault", PLANTED)
-def test_given_a_planted_fault_then_the_model_shows_the_way_to_a_broken_promise(fault: str) -> None:
+def test_given_a_planted_fault_then_the_checker_finds_a_violation_with_its_trace(fault: str) -> None:
     scenario, epochs = PLANTED[fault]
-    result = check(scenario, Bounds(most_epochs=epochs, planted=fault), most_states=ENOUGH_STATES)
+    result = check(scenario, Bounds(most_epochs=epochs, planted=fault), most_states=MAX_STATES)
     assert result.violation is not None
     assert result.trace
