--- a/benchmarks/control_state/__init__.py
+++ b/benchmarks/control_state/__init__.py
@@ -1,1 +1,1 @@
-"""Random schedules of faults against the control state, in virtual time."""
+"""Random fault schedules against the replicated control state, in virtual time."""
--- a/benchmarks/control_state/__main__.py
+++ b/benchmarks/control_state/__main__.py
@@ -38,12 +38,21 @@
 from docopt import docopt
 from result import Err
 
-from benchmarks.control_state.failover import tell_fail_overs
-from benchmarks.control_state.playing import Batch, Finding, Played, Search, find_planted, play, play_batch
+from benchmarks.control_state.failover import print_failover_times
+from benchmarks.control_state.playing import (
+    Batch,
+    BatchResult,
+    Finding,
+    Search,
+    find_planted,
+    play,
+    play_batch,
+)
 from benchmarks.jobs import run_jobs
 from tests.system.control_simulation.planted import PLANTED
 from tests.system.control_simulation.schedules import Outcome
 
+# Words in the first line of a violation's text, by the kind under which it is counted.
 KINDS_OF_VIOLATION = {
     "lost": ("is gone", "are gone", "is acknowledged", "had been acknowledged", "is not what was"),
     "back_steps": ("went back", "as current", "other contents"),
@@ -51,25 +60,24 @@
     "stuck": ("not within", "no change was acknowledged"),
 }
 
-
-SCHEDULES_A_JOB = 20
-SCHEDULE_DEADLINE_S = 60.0  # of real time; one takes about a second on a quiet machine
+SCHEDULES_PER_BATCH = 20
+SCHEDULE_DEADLINE_S = 60.0  # real time; a schedule takes about 1 s on an idle machine
 
 
 def _batches(
     first: int, count: int, machines: int, losses: int, seconds: float, blackouts: bool
 ) -> Iterator[Batch]:
-    """Batches of schedules, none given out after `seconds` if that is not 0."""
+    """Yields batches of schedules; with `seconds` other than 0, until that time has passed."""
     deadline = time.monotonic() + seconds
     seeds: Iterator[int] = iter(range(first, first + count)) if not seconds else itertools.count(first)
     while not seconds or time.monotonic() < deadline:
-        batch = tuple(itertools.islice(seeds, SCHEDULES_A_JOB))
+        batch = tuple(itertools.islice(seeds, SCHEDULES_PER_BATCH))
         if not batch:
             return
         yield Batch(batch, machines, losses, blackouts)
 
 
-def _kind_of(violation: str) -> str:
+def _violation_kind(violation: str) -> str:
     first = violation.splitlines()[0]
     for kind, words in KINDS_OF_VIOLATION.items():
         if any(word in first for word in words):
@@ -77,54 +85,56 @@
     return "other"
 
 
-def _figures(played: Played, spent_s: float, machines: int, losses: int) -> dict[str, Any]:
-    outcomes = played.outcomes
+def _figures(total: BatchResult, elapsed_s: float, machines: int, losses: int) -> dict[str, Any]:
+    outcomes = total.outcomes
     faults: Counter[str] = Counter()
     for outcome in outcomes:
         faults += outcome.faults
-    broken = Counter(_kind_of(outcome.violation) for outcome in outcomes if outcome.violation is not None)
+    violations = Counter(
+        _violation_kind(outcome.violation) for outcome in outcomes if outcome.violation is not None
+    )
     return {
         "machines": machines,
         "losses": losses,
         "schedules": len(outcomes),
-        "seconds": round(spent_s),
-        "core_s": round(played.core_s),
+        "seconds": round(elapsed_s),
+        "core_s": round(total.cpu_s),
         "acknowledged": sum(outcome.acknowledged for outcome in outcomes),
         "departures": sum(outcome.departures for outcome in outcomes),
         "reads": sum(outcome.reads for outcome in outcomes),
         "acts": sum(outcome.acts for outcome in outcomes),
         "longest_recovery_s": round(max((outcome.recovery_s for outcome in outcomes), default=0.0), 2),
-        **{kind: broken[kind] for kind in (*KINDS_OF_VIOLATION, "other")},
+        **{kind: violations[kind] for kind in (*KINDS_OF_VIOLATION, "other")},
         "faults": dict(sorted(faults.items())),
     }
 
 
 def _run(options: dict[str, Any], machines: int, losses: int, count: int) -> int:
     started = time.monotonic()
-    played = Played([], 0.0)
-    stood_still = 0
+    total = BatchResult([], 0.0)
+    failed_batches = 0
     first, seconds, blackouts = int(options["--from"]), float(options["--seconds"]), options["--blackouts"]
     batches = _batches(first, count, machines, losses, seconds, blackouts)
-    deadline_s = SCHEDULES_A_JOB * SCHEDULE_DEADLINE_S
+    deadline_s = SCHEDULES_PER_BATCH * SCHEDULE_DEADLINE_S
     for batch, result in run_jobs(play_batch, batches, int(options["--processes"]), deadline_s):
         if isinstance(result, Err):
-            stood_still += 1
+            failed_batches += 1
             print(f"seeds {batch.seeds}: {result.err_value.reason}\n{result.err_value.stacks}", flush=True)
             continue
-        _tell_broken(result.ok_value.outcomes, machines)
-        played.outcomes += result.ok_value.outcomes
-        played.core_s += result.ok_value.core_s
-    figures = _figures(played, time.monotonic() - started, machines, losses)
-    figures["batches_without_result"] = stood_still
+        _report_violations(result.ok_value.outcomes, machines)
+        total.outcomes += result.ok_value.outcomes
+        total.cpu_s += result.ok_value.cpu_s
+    figures = _figures(total, time.monotonic() - started, machines, losses)
+    figures["batches_without_result"] = failed_batches
     for name, value in figures.items():
         print(f"{name:20} {value}")
     if options["--result"]:
         Path(options["--result"]).write_text(json.dumps(figures, indent=1) + "\n")
-    return int(stood_still > 0 or any(outcome.violation for outcome in played.outcomes))
+    return int(failed_batches > 0 or any(outcome.violation for outcome in total.outcomes))
 
 
-def _tell_broken(outcomes: list[Outcome], machines: int) -> None:
-    """Print the seeds of broken promises, and keep their traces under `target/`."""
+def _report_violations(outcomes: list[Outcome], machines: int) -> None:
+    """Prints the seeds of schedules with a violation, and writes their traces to `target/`."""
     for outcome in outcomes:
         if outcome.violation is not None:
             print(f"seed {outcome.seed}: {outcome.violation.splitlines()[0]}", flush=True)
@@ -133,7 +143,7 @@
             outcome.trace = []
 
 
-def _find_all(options: dict[str, Any], count: int) -> int:
+def _search_all(options: dict[str, Any], count: int) -> int:
     names = options["NAME"] or list(PLANTED)
     searches = [Search(name, count, options["--blackouts"]) for name in names]
     findings = {}
@@ -161,8 +171,8 @@
         print(outcome.violation or "no violation")
         return int(outcome.violation is not None)
     if options["failover"]:
-        return tell_fail_overs(count)
-    return _find_all(options, count)
+        return print_failover_times(count)
+    return _search_all(options, count)
 
 
 if __name__ == "__main__":
--- a/benchmarks/control_state/playing.py
+++ b/benchmarks/control_state/playing.py
@@ -1,4 +1,4 @@
-"""What the processes of the schedules' benchmark do: play batches of them, and look for planted faults."""
+"""Jobs of the worker processes: run batches of fault schedules, and search for planted faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Schedules that one process plays. `blackouts`: those in which all lose power."""
+    """The seeds of schedules that one process runs; with `blackouts`, all machines lose power in them."""
 
     seeds: tuple[int, ...]
     machines: int
@@ -21,33 +21,33 @@
 
 
 @dataclass(slots=True)
-class Played:
-    """The outcomes of a batch, and the processor time that they took."""
+class BatchResult:
+    """The outcomes of a batch, and their processor time in seconds."""
 
     outcomes: list[Outcome]
-    core_s: float
+    cpu_s: float
 
 
 def play(seed: int, machines: int, losses: int, blackouts: bool) -> Outcome:
-    """Play one schedule of the usual kind, or one in which all lose power."""
+    """Runs one schedule of the usual kind or, with `blackouts`, one in which all machines lose power."""
     kind = BlackoutSchedule if blackouts else Schedule
     return run_schedule(seed, machines, losses, schedule_type=kind)
 
 
-def play_batch(batch: Batch) -> Played:
-    """Play schedules one after the other; traces are kept only of those that broke a promise."""
+def play_batch(batch: Batch) -> BatchResult:
+    """Runs schedules one after the other; keeps traces only of those with a violation."""
     outcomes = []
     for seed in batch.seeds:
         outcome = play(seed, batch.machines, batch.losses, batch.blackouts)
         if outcome.violation is None:
             outcome.trace = []
         outcomes.append(outcome)
-    return Played(outcomes, resource.getrusage(resource.RUSAGE_SELF).ru_utime)
+    return BatchResult(outcomes, resource.getrusage(resource.RUSAGE_SELF).ru_utime)
 
 
 @dataclass(frozen=True, slots=True)
 class Search:
-    """For which planted fault schedules are played, and how many at most."""
+    """A planted fault to search for, and the maximum number of schedules to run."""
 
     fault: str
     schedules: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """How many schedules it took to find a planted fault, and as what it showed; None if it did not."""
+    """The number of schedules run for a planted fault, and the violation found; None if there was none."""
 
     fault: str
     schedules: int
@@ -64,7 +64,7 @@
 
 
 def find_planted(search: Search) -> Finding:
-    """Play schedules with a planted fault until one breaks; three machines, then five, by turns."""
+    """Runs schedules with a planted fault until one has a violation; with 3 and 5 machines alternately."""
     with planted(search.fault):
         for number in range(search.schedules):
             machines, losses = ((3, 1), (5, 2))[number % 2]
