--- a/benchmarks/control_kills/__init__.py
+++ b/benchmarks/control_kills/__init__.py
@@ -1,1 +1,1 @@
-"""Real control processes on loopback under kills, planned ends and stops, with two stand-in operators."""
+"""Real control processes on loopback under kills, terminations and stops, with two simulated operators."""
--- a/benchmarks/control_kills/__main__.py
+++ b/benchmarks/control_kills/__main__.py
@@ -21,7 +21,7 @@
 
 from docopt import docopt
 
-from benchmarks.control_kills.run import play
+from benchmarks.control_kills.run import run_with_faults
 
 
 def main() -> int:
@@ -31,7 +31,7 @@
         int(options[name]) for name in ("--members", "--losses", "--faults", "--seed")
     )
     with tempfile.TemporaryDirectory() as folder:
-        figures = asyncio.run(play(Path(folder), members, losses, faults, seed))
+        figures = asyncio.run(run_with_faults(Path(folder), members, losses, faults, seed))
     text = json.dumps(figures, indent=1)
     print(text)
     if options["--result"]:
--- a/benchmarks/control_kills/faults.py
+++ b/benchmarks/control_kills/faults.py
@@ -1,4 +1,4 @@
-"""Kills, planned replacements, restarts and stops of real control processes, one after the other."""
+"""Injects kills, replacements, restarts and stops into real control processes, one fault at a time."""
 
 from __future__ import annotations
 
@@ -13,85 +13,89 @@
 from benchmarks.control_kills.nodes import ControlProcess, ControlProcesses
 from benchmarks.control_kills.operators import Ledger
 
-PROGRESS_S = 20.0  # for the next acknowledgement and every node's answer, before the group counts as stuck
+PROGRESS_TIMEOUT_S = 20.0  # without an acknowledged change or a node's answer, the group counts as stuck
 
 
 @dataclass
-class Strikes:
-    """Strikes a running group; `done` counts the faults by kind."""
+class FaultInjector:
+    """Injects faults into a running group.
+
+    `injected` counts the faults by kind, `stuck` those after which the group made no progress in time, and
+    `killed_after_grace` the processes that did not end within the grace time.
+    """
 
     group: ControlProcesses
     ledger: Ledger
-    draw: random.Random
-    done: Counter[str] = field(default_factory=Counter)
+    rng: random.Random
+    injected: Counter[str] = field(default_factory=Counter)
     stuck: int = 0
-    ended_late: int = 0
+    killed_after_grace: int = 0
 
-    async def strike(self) -> None:
-        """One fault, and the wait until all is well again."""
+    async def inject(self) -> None:
+        """Injects one random fault and waits until the group has recovered."""
         kinds = {
             "kill": self._kill,
             "stop and continue": self._stop,
             "terminate": self._terminate,
             "replace": self._replace,
         }
-        name = self.draw.choice(list(kinds))
+        name = self.rng.choice(list(kinds))
         before = self.ledger.changes
         await kinds[name]()
-        self.done[name] += 1
-        await self._until_well(before)
+        self.injected[name] += 1
+        await self._wait_for_recovery(before)
 
-    def _victims(self) -> list[ControlProcess]:
-        return self.draw.sample(self.group.nodes, self.draw.randint(1, self.group.losses))
+    def _choose_nodes(self) -> list[ControlProcess]:
+        return self.rng.sample(self.group.nodes, self.rng.randint(1, self.group.losses))
 
     async def _kill(self) -> None:
-        victims = self._victims()
+        victims = self._choose_nodes()
         for victim in victims:
             victim.kill()
-        await asyncio.sleep(self.draw.choice([0.0, 0.3, 1.2]))
+        await asyncio.sleep(self.rng.choice([0.0, 0.3, 1.2]))
         for victim in victims:
             self.group.restart(victim)
 
     async def _stop(self) -> None:
-        victims = self._victims()
+        victims = self._choose_nodes()
         for victim in victims:
             victim.signal(signal.SIGSTOP)
-        await asyncio.sleep(self.draw.choice([0.1, 0.9, 2.5]))
+        await asyncio.sleep(self.rng.choice([0.1, 0.9, 2.5]))
         for victim in victims:
             victim.signal(signal.SIGCONT)
 
     async def _terminate(self) -> None:
-        victim = self.draw.choice(self.group.nodes)
-        self.ended_late += not await victim.terminate()
+        victim = self.rng.choice(self.group.nodes)
+        self.killed_after_grace += not await victim.terminate()
         self.group.restart(victim)
 
     async def _replace(self) -> None:
-        """An empty node comes first; once it answers, an old one is told to end, and its folder is gone."""
-        victim = self.draw.choice(self.group.nodes)
+        """Starts an empty node; once it responds, ends an old one, whose folder is not used again."""
+        victim = self.rng.choice(self.group.nodes)
         newcomer = self.group.add()
         self.group.restart(newcomer)
-        await self._until_answered([newcomer])
-        self.ended_late += not await victim.terminate()
-        self.group.take_away(victim)
+        await self._wait_until_responding([newcomer])
+        self.killed_after_grace += not await victim.terminate()
+        self.group.remove_node(victim)
 
-    async def _until_well(self, changes_before: int) -> None:
+    async def _wait_for_recovery(self, changes_before: int) -> None:
         try:
-            async with asyncio.timeout(PROGRESS_S):
-                await self._until_answered(self.group.nodes)
+            async with asyncio.timeout(PROGRESS_TIMEOUT_S):
+                await self._wait_until_responding(self.group.nodes)
                 while self.ledger.changes == changes_before:
                     await asyncio.sleep(0.02)
         except TimeoutError:
             self.stuck += 1
 
-    async def _until_answered(self, nodes: list[ControlProcess]) -> None:
+    async def _wait_until_responding(self, nodes: list[ControlProcess]) -> None:
         timeout = aiohttp.ClientTimeout(total=1.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             for node in list(nodes):
-                while not await _answers(session, node):
+                while not await _is_responding(session, node):
                     await asyncio.sleep(0.05)
 
 
-async def _answers(session: aiohttp.ClientSession, node: ControlProcess) -> bool:
+async def _is_responding(session: aiohttp.ClientSession, node: ControlProcess) -> bool:
     try:
         async with session.get(f"{node.url}/configuration") as answer:
             return answer.status == 200
--- a/benchmarks/control_kills/nodes.py
+++ b/benchmarks/control_kills/nodes.py
@@ -1,4 +1,4 @@
-"""Control processes with real folders: each has a loopback address of its own, and is ended by its id."""
+"""Control processes with real data folders, each with its own loopback address."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @dataclass
 class ControlProcess:
-    """One control node; `process` is its newest start."""
+    """One control node; `process` is its most recently started process."""
 
     number: int
     address: str
@@ -56,15 +56,15 @@
 
     @property
     def url(self) -> str:
-        """Where operators call it."""
+        """The base URL of the control API."""
         return f"http://{self.address}:{CONTROL_PORT}"
 
-    def running(self) -> bool:
-        """Whether its process has not ended."""
+    def is_running(self) -> bool:
+        """Returns whether the process has been started and has not ended."""
         return self.process is not None and self.process.poll() is None
 
-    def start(self, seeds: list[str], losses: int, first: bool) -> None:
-        """Start it on its folder."""
+    def start(self, seeds: list[str], losses: int, is_first_start: bool) -> None:
+        """Writes the settings and starts the process on its folder; a first start bootstraps the group."""
         self.home.mkdir(exist_ok=True)
         settings = self.home / "boot.toml"
         settings.write_text(
@@ -74,7 +74,7 @@
                 internal=INTERNAL_PORT,
                 control=CONTROL_PORT,
                 seeds=json.dumps(seeds),
-                first=str(first).lower(),
+                first=str(is_first_start).lower(),
                 folder=self.home / "data",
                 losses=losses,
                 grace=GRACE_S,
@@ -89,21 +89,21 @@
             )
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
-        if self.running() and self.process is not None:
+        """Sends a signal if the process is running."""
+        if self.is_running() and self.process is not None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """SIGKILL, and wait for the end."""
+        """Sends SIGKILL and waits for the process to end."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
     async def terminate(self) -> bool:
-        """SIGTERM, and SIGKILL after the grace time; whether it ended by itself."""
+        """Sends SIGTERM, and SIGKILL after the grace time; returns whether SIGTERM was enough."""
         self.signal(signal.SIGTERM)
         for _ in range(int(GRACE_S / POLL_S)):
-            if not self.running():
+            if not self.is_running():
                 return True
             await asyncio.sleep(POLL_S)
         self.kill()
@@ -112,52 +112,54 @@
 
 @dataclass
 class ControlProcesses:
-    """All control nodes of one run."""
+    """The control nodes of one run, which tolerate the loss of `losses` of them."""
 
     folder: Path
     members: int
     losses: int
     network: str = field(default_factory=lambda: f"127.{random.randint(60, 200)}.{random.randint(0, 250)}")
     nodes: list[ControlProcess] = field(default_factory=list)
-    _next: int = 0
+    _last_number: int = 0
 
     def seeds(self) -> list[str]:
-        """The control addresses of three nodes."""
+        """Returns the control addresses of the first three nodes."""
         return [f"{node.address}:{CONTROL_PORT}" for node in self.nodes[:3]]
 
     def add(self) -> ControlProcess:
-        """A node with an empty folder, not started."""
-        self._next += 1
+        """Adds and returns a node with an empty folder, not yet started."""
+        self._last_number += 1
         node = ControlProcess(
-            self._next, f"{self.network}.{self._next % 250 + 1}", self.folder / f"core-{self._next}"
+            self._last_number,
+            f"{self.network}.{self._last_number % 250 + 1}",
+            self.folder / f"core-{self._last_number}",
         )
         self.nodes.append(node)
         return node
 
     def start_all(self) -> None:
-        """The first start of the whole system."""
+        """Adds all members and starts them for the first time."""
         for _ in range(self.members):
             self.add()
         for node in self.nodes:
-            node.start(self.seeds(), self.losses, first=True)
+            node.start(self.seeds(), self.losses, is_first_start=True)
 
     def restart(self, node: ControlProcess) -> None:
-        """Start a node again on its folder, or a new one."""
-        node.start(self.seeds(), self.losses, first=False)
+        """Starts a node that has ended or was added, without bootstrapping a group."""
+        node.start(self.seeds(), self.losses, is_first_start=False)
 
-    def take_away(self, node: ControlProcess) -> None:
-        """A node has ended for good."""
+    def remove_node(self, node: ControlProcess) -> None:
+        """Removes a node that has ended permanently."""
         self.nodes.remove(node)
 
     def close(self) -> None:
-        """End all."""
+        """Kills all processes."""
         for node in self.nodes:
             node.kill()
 
 
 @contextlib.contextmanager
 def control_processes(folder: Path, members: int, losses: int) -> Iterator[ControlProcesses]:
-    """A running group; all its processes end with the block."""
+    """Provides a running group, whose processes are killed at the end of the block."""
     group = ControlProcesses(folder, members, losses)
     try:
         group.start_all()
--- a/benchmarks/control_kills/operators.py
+++ b/benchmarks/control_kills/operators.py
@@ -1,4 +1,4 @@
-"""Stand-in operators: they send a change until the answer is clear, lose answers, and check what they see."""
+"""Simulated operators, which resend changes until the result is certain and check every version read."""
 
 from __future__ import annotations
 
@@ -11,94 +11,97 @@
 from benchmarks.control_kills.nodes import ControlProcesses
 from tests.system.control_simulation.history import describe, document
 
-CALL_S = 1.0
-PAUSE_S = 0.05
-LOST_ANSWERS = 0.2  # the share of answers that an operator takes for lost
+CALL_TIMEOUT_S = 1.0
+RETRY_PAUSE_S = 0.05
+LOST_ANSWER_SHARE = 0.2  # share of successful answers that an operator treats as lost
 
 
 @dataclass
 class Ledger:
-    """What was acknowledged, and what was wrong."""
+    """The acknowledged changes by version, counts of operations, and the violations found."""
 
     acknowledged: dict[int, bytes] = field(default_factory=dict)
     changes: int = 0
     resent: int = 0
     reads: int = 0
-    not_found: list[str] = field(default_factory=list)
-    refused_again: list[str] = field(default_factory=list)
-    two_under_one: list[str] = field(default_factory=list)
+    lost_changes: list[str] = field(default_factory=list)
+    rejected_resends: list[str] = field(default_factory=list)
+    version_conflicts: list[str] = field(default_factory=list)
 
-    def newest(self) -> int:
-        """The highest version acknowledged."""
+    def newest_version(self) -> int:
+        """Returns the highest acknowledged version, or 0."""
         return max(self.acknowledged, default=0)
 
     def acknowledge(self, version: int, marker: bytes) -> None:
-        """A change got 200."""
+        """Records a change that was answered with 200."""
         self.changes += 1
         if self.acknowledged.setdefault(version, marker) != marker:
-            self.two_under_one.append(f"version {version}: {marker!r} and {self.acknowledged[version]!r}")
+            self.version_conflicts.append(f"version {version}: {marker!r} and {self.acknowledged[version]!r}")
 
     def read(self, body: bytes, newest_before: int) -> int:
-        """A read got 200; nothing acknowledged before it was sent may be missing."""
+        """Records a read that was answered with 200, and returns its version.
+
+        The read must not be older than `newest_before`, the newest version acknowledged before it was sent.
+        """
         self.reads += 1
         version, marker = describe(body)
         if version < newest_before:
-            self.not_found.append(f"version {version} was read after {newest_before} was acknowledged")
+            self.lost_changes.append(f"version {version} was read after {newest_before} was acknowledged")
         if self.acknowledged.get(version, marker) != marker:
-            self.not_found.append(f"version {version} is not what was acknowledged")
+            self.lost_changes.append(f"version {version} is not what was acknowledged")
         return version
 
 
 class Operator:
     """One of several operators that change the same configuration."""
 
-    def __init__(self, name: str, group: ControlProcesses, ledger: Ledger, draw: random.Random) -> None:
+    def __init__(self, name: str, group: ControlProcesses, ledger: Ledger, rng: random.Random) -> None:
         self._name = name
         self._group = group
         self._ledger = ledger
-        self._draw = draw
+        self._rng = rng
         self._serial = 0
-        self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_S))
+        self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S))
 
     async def close(self) -> None:
-        """Give up its connections."""
+        """Closes the HTTP session."""
         await self._session.close()
 
     async def read(self) -> int | None:
-        """The version in force, from any node; None without a clear answer."""
-        newest = self._ledger.newest()
-        node = self._draw.choice(self._group.nodes)
+        """Reads the current version from a random node; returns None without a certain result."""
+        newest_version = self._ledger.newest_version()
+        node = self._rng.choice(self._group.nodes)
         try:
             async with self._session.get(f"{node.url}/configuration") as answer:
                 body = await answer.read()
-                return self._ledger.read(body, newest) if answer.status == 200 else None
+                return self._ledger.read(body, newest_version) if answer.status == 200 else None
         except (aiohttp.ClientError, TimeoutError):
             return None
 
     async def change(self) -> None:
-        """One change on what is in force, sent until the answer is clear."""
-        base = await self.read() or self._ledger.newest()
-        version = base + self._draw.randint(1, 2)
+        """Makes one change to the current version, and resends it until the result is certain."""
+        base = await self.read() or self._ledger.newest_version()
+        version = base + self._rng.randint(1, 2)
         self._serial += 1
         marker = f"{self._name}-{self._serial}"
-        taken = False
+        was_acknowledged = False
         for attempt in range(200):
             self._ledger.resent += attempt > 0
             status = await self._send(base, version, marker)
             if status == 200:
-                taken = True
-                if self._draw.random() < LOST_ANSWERS:
-                    continue  # it takes the answer for lost, and sends the same again
+                was_acknowledged = True
+                if self._rng.random() < LOST_ANSWER_SHARE:
+                    continue  # treats the answer as lost and resends the same change
                 self._ledger.acknowledge(version, marker.encode())
                 return
             if status in (400, 412):
-                if taken:
-                    self._ledger.refused_again.append(f"{marker}: {status} after 200")
+                if was_acknowledged:
+                    self._ledger.rejected_resends.append(f"{marker}: {status} after 200")
                 return
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _send(self, base: int, version: int, marker: str) -> int | None:
-        node = self._draw.choice(self._group.nodes)
+        node = self._rng.choice(self._group.nodes)
         try:
             async with self._session.put(
                 f"{node.url}/configuration", data=document(version, marker), headers={"If-Match": str(base)}
@@ -109,7 +112,7 @@
             return None
 
     async def run(self) -> None:
-        """Change after change."""
+        """Makes changes until cancelled."""
         while True:
             await self.change()
-            await asyncio.sleep(self._draw.uniform(0.0, 0.1))
+            await asyncio.sleep(self._rng.uniform(0.0, 0.1))
