--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of the whole system as real processes: kept connections, and faults in series that overlap."""
+"""Soak tests of the whole system as real processes, with keep-alive connections and overlapping faults."""
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -28,25 +28,25 @@
 
 from docopt import docopt
 
-from benchmarks.soak.judge import MOST_SHOWN
-from benchmarks.soak.run import SoakPlan, play
+from benchmarks.soak.judge import MAX_FAULTS_SHOWN
+from benchmarks.soak.run import SoakPlan, run_soak
 
 
 def main() -> int:
-    """Run the command line; 1 where a run found a fault."""
+    """Runs the command line; returns 1 if a run found a fault."""
     options = docopt(__doc__)
-    logging.getLogger("aiohttp").setLevel(logging.CRITICAL)  # stand-in workers whose callers left
+    logging.getLogger("aiohttp").setLevel(logging.CRITICAL)  # simulated workers log disconnects
     sizes = {name: int(options[f"--{name}"]) for name in ("edges", "clients", "workers", "series", "length")}
     first = int(options["--first"])
     reports = []
     for seed in range(first, first + int(options["--count"])):
         with tempfile.TemporaryDirectory() as folder:
-            report = play(Path(folder), SoakPlan(seed, **sizes))
+            report = run_soak(Path(folder), SoakPlan(seed, **sizes))
             if report.faults and options["--keep"]:
                 shutil.copytree(folder, Path(options["--keep"]) / f"seed-{seed}", dirs_exist_ok=True)
         reports.append(asdict(report))
         print(f"seed {seed}: {len(report.faults)} faults; {json.dumps(report.figures)}", flush=True)
-        for fault in report.faults[:MOST_SHOWN]:
+        for fault in report.faults[:MAX_FAULTS_SHOWN]:
             print(f"  {fault}", flush=True)
     if options["--result"]:
         Path(options["--result"]).write_text(json.dumps(reports, indent=1) + "\n")
--- a/benchmarks/soak/clients.py
+++ b/benchmarks/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients that reuse their connection at once, until it is closed, and note what came of each request."""
+"""Clients that reuse their connection until it is closed, and record the outcome of each request."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from arrowfold.standins.trial_configuration import ADDED, CHAT, HOST, LOOKUP, RECORD
 
 KINDS = (CHAT, CHAT, LOOKUP, RECORD, RECORD, ADDED)
-GAPS_S = (0.0, 0.0, 0.003, 0.02, 0.05, 0.09, 0.3)  # from an answer to the next request of its connection
-SHORT_GAPS_S = (0.0, 0.0, 0.003, 0.02, 0.05, 0.09)  # before an edge closes a connection that rests
+GAPS_S = (0.0, 0.0, 0.003, 0.02, 0.05, 0.09, 0.3)  # from a response to the next request on its connection
+SHORT_GAPS_S = (0.0, 0.0, 0.003, 0.02, 0.05, 0.09)  # shorter than an edge's idle timeout
 DEADLINES_S = (0.5, 2.0, 5.0, 15.0)
-SLOW_BODY_SHARE = 0.1  # of the requests: the last byte of the body comes later than the head
+SLOW_BODY_SHARE = 0.1  # share of requests whose last body byte is sent after a delay
 LONGEST_BODY_S = 1.5
-LEAVING_SHARE = 0.03  # of the requests: the client closes its connection before the answer
+CLIENT_CLOSE_SHARE = 0.03  # share of requests whose client disconnects before the response
 CONNECT_TIMEOUT_S = 2.0
-DEADLINE_SLACK_S = 3.0  # beyond its deadline, before a client takes its request for forgotten
+DEADLINE_SLACK_S = 3.0  # time after its deadline until a request counts as unanswered
 RETRY_LIMIT_S = 0.5
-WHOLE_STREAM = "".join(event_text(number) for number in range(1, STREAM_EVENTS + 1)).encode()
+COMPLETE_STREAM = "".join(event_text(number) for number in range(1, STREAM_EVENTS + 1)).encode()
 _CHUNK_END = 2
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """One request and what came of it; times are seconds of the event loop's clock."""
+    """One request and its outcome; times are in seconds of the event loop's clock."""
 
     attempt: str
     kind: RequestKind
@@ -37,19 +37,19 @@
     deadline_s: float
     first_on_connection: bool
     began_s: float
-    sent_s: float | None = None  # when its last byte was written
+    sent_s: float | None = None  # when the last byte was written
     ended_s: float | None = None
-    status: int | None = None  # of an answer whose head came
-    sealed: bool = False
+    status: int | None = None  # set once the head of the response has arrived
+    has_seal: bool = False
     body: bytes = b""
     complete: bool = False
-    left: bool = False  # the client closed the connection itself
-    forgotten: bool = False  # neither an answer nor a close came
+    closed_by_client: bool = False  # whether the client itself closed the connection
+    is_unanswered: bool = False  # whether neither a response nor a close arrived in time
 
 
 @dataclass(slots=True)
-class _Head:
-    """The head of an answer."""
+class _ResponseHead:
+    """The status and header fields of a response."""
 
     status: int
     fields: dict[bytes, bytes]
@@ -61,18 +61,18 @@
 
 @dataclass
 class SoakClient:
-    """One client: a connection at a time, requests one after the other."""
+    """A client that sends sequential requests over one connection at a time."""
 
     system: LocalSystem
-    draw: random.Random
+    rng: random.Random
     requests: list[SentRequest]
-    only_streams: bool = False  # long ones, with no gap worth mention between them
+    only_streams: bool = False  # sends only streaming requests, with long deadlines and short gaps
     stopping: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def run(self) -> None:
-        """Send until told to stop."""
+        """Sends requests until `stopping` is set."""
         while not self.stopping.is_set():
-            edge = self.draw.choice(self.system.edges)
+            edge = self.rng.choice(self.system.edges)
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection(edge.host, self.system.ports.front)
@@ -80,51 +80,53 @@
                 await asyncio.sleep(0.1)
                 continue
             try:
-                await self._use(edge, reader, writer)
+                await self._use_connection(edge, reader, writer)
             finally:
                 writer.transport.abort()
 
-    async def _use(self, edge: LocalNode, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send on this connection until it ends."""
+    async def _use_connection(
+        self, edge: LocalNode, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Sends requests on a connection until it ends."""
         process = edge.process.pid if edge.process is not None else 0
-        first = True
-        goes_on = True
-        while goes_on and not self.stopping.is_set():
-            request = self._request(edge, process, first)
+        is_first = True
+        can_reuse = True
+        while can_reuse and not self.stopping.is_set():
+            request = self._request(edge, process, is_first)
             self.requests.append(request)
-            first = False
-            goes_on = await self._exchange(request, reader, writer)
-            if goes_on:
-                await asyncio.sleep(self.draw.choice(SHORT_GAPS_S if self.only_streams else GAPS_S))
+            is_first = False
+            can_reuse = await self._exchange(request, reader, writer)
+            if can_reuse:
+                await asyncio.sleep(self.rng.choice(SHORT_GAPS_S if self.only_streams else GAPS_S))
 
-    def _request(self, edge: LocalNode, process: int, first: bool) -> SentRequest:
+    def _request(self, edge: LocalNode, process: int, is_first: bool) -> SentRequest:
         now_s = asyncio.get_running_loop().time()
-        deadline_s = max(DEADLINES_S) if self.only_streams else self.draw.choice(DEADLINES_S)
-        kind = CHAT if self.only_streams else self.draw.choice(KINDS)
-        return SentRequest(secrets.token_hex(8), kind, edge.name, process, deadline_s, first, now_s)
+        deadline_s = max(DEADLINES_S) if self.only_streams else self.rng.choice(DEADLINES_S)
+        kind = CHAT if self.only_streams else self.rng.choice(KINDS)
+        return SentRequest(secrets.token_hex(8), kind, edge.name, process, deadline_s, is_first, now_s)
 
     async def _exchange(
         self, request: SentRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """One request and its answer; whether the connection goes on."""
+        """Exchanges one request and response; returns whether the connection can be reused."""
         loop = asyncio.get_running_loop()
         retry_s = None
         try:
             async with asyncio.timeout(request.deadline_s + LONGEST_BODY_S + DEADLINE_SLACK_S):
                 await self._send(request, writer)
-                if self.draw.random() < LEAVING_SHARE:
-                    await asyncio.sleep(self.draw.random() * 0.1)
-                    request.left = True
+                if self.rng.random() < CLIENT_CLOSE_SHARE:
+                    await asyncio.sleep(self.rng.random() * 0.1)
+                    request.closed_by_client = True
                     return False
                 head = await _read_head(reader)
                 request.status = head.status
-                request.sealed = b"x-server-seal" in head.fields
+                request.has_seal = b"x-server-seal" in head.fields
                 await _read_body(request, reader, head)
                 retry_s = head.fields.get(b"retry-after")
         except (OSError, asyncio.IncompleteReadError):
             return False
         except TimeoutError:
-            request.forgotten = True
+            request.is_unanswered = True
             return False
         finally:
             request.ended_s = loop.time()
@@ -144,9 +146,9 @@
         if request.kind.model is not None:
             lines += [f"X-Model: {request.kind.model}", "X-Token-Usage: 40,8"]
         head = "\r\n".join(lines).encode() + b"\r\n\r\n"
-        if self.draw.random() < SLOW_BODY_SHARE:
+        if self.rng.random() < SLOW_BODY_SHARE:
             writer.write(head + body[:-1])
-            await asyncio.sleep(self.draw.random() * LONGEST_BODY_S)
+            await asyncio.sleep(self.rng.random() * LONGEST_BODY_S)
             writer.write(body[-1:])
         else:
             writer.write(head + body)
@@ -155,21 +157,21 @@
 
 
 def expected_body(request: SentRequest) -> bytes:
-    """The whole body of a success."""
-    return WHOLE_STREAM if request.kind.streams else answer_text(request.attempt).encode()
+    """Returns the complete body of a successful response."""
+    return COMPLETE_STREAM if request.kind.streams else answer_text(request.attempt).encode()
 
 
-async def _read_head(reader: asyncio.StreamReader) -> _Head:
+async def _read_head(reader: asyncio.StreamReader) -> _ResponseHead:
     lines = (await reader.readuntil(b"\r\n\r\n")).split(b"\r\n")
     fields = {}
     for line in lines[1:]:
         name, _, value = line.partition(b":")
         fields[name.strip().lower()] = value.strip()
-    return _Head(int(lines[0].split(b" ")[1]), fields)
+    return _ResponseHead(int(lines[0].split(b" ")[1]), fields)
 
 
-async def _read_body(request: SentRequest, reader: asyncio.StreamReader, head: _Head) -> None:
-    """The body as far as it comes; `complete` once it has come whole."""
+async def _read_body(request: SentRequest, reader: asyncio.StreamReader, head: _ResponseHead) -> None:
+    """Reads the body as far as it arrives; sets `complete` once all of it has arrived."""
     if head.fields.get(b"transfer-encoding", b"").lower() == b"chunked":
         while size := int((await reader.readuntil(b"\r\n")).strip(), 16):
             request.body += (await reader.readexactly(size + _CHUNK_END))[:-_CHUNK_END]
--- a/benchmarks/soak/operator.py
+++ b/benchmarks/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: changes the configuration again and again, and remembers what was acknowledged."""
+"""The operator of a soak, which changes the configuration and records acknowledged versions."""
 
 from __future__ import annotations
 
@@ -14,55 +14,55 @@
 from arrowfold.standins.trial_configuration import ADDED, trial_configuration, trial_route
 
 CALL_TIMEOUT_S = 5.0
-CHANGE_TIMEOUT_S = 90.0  # the group may be without a primary while processes start on a busy machine
-RETRY_S = 0.1
+CHANGE_TIMEOUT_S = 90.0  # the group may have no primary while processes start on a busy machine
+RETRY_INTERVAL_S = 0.1
 
 
 @dataclass
 class Operator:
-    """Sends one change at a time; `acknowledged` is the newest version that was."""
+    """Sends one change at a time; `acknowledged` is the newest acknowledged version."""
 
     system: LocalSystem
-    draw: random.Random
+    rng: random.Random
     session: aiohttp.ClientSession
     acknowledged: int = 0
     changes: int = 0
     faults: list[str] = field(default_factory=list)
     _lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
-    async def first(self) -> None:
-        """The first configuration, with all routes."""
+    async def send_initial(self) -> None:
+        """Sends the initial configuration with all routes."""
         configuration = trial_configuration()
         configuration["routes"].append(trial_route("added", ADDED, "idempotent"))
-        await self._until_acknowledged("PUT", configuration)
+        await self._send_until_acknowledged("PUT", configuration)
 
     async def change(self) -> None:
-        """Another timeout for a route."""
-        changed = trial_route("added", ADDED, "idempotent", timeoutMs=9_000 + self.draw.randrange(1000))
-        await self._until_acknowledged("PATCH", {"upsert": {"routes": [changed]}})
+        """Changes the timeout of a route to a random value."""
+        changed = trial_route("added", ADDED, "idempotent", timeoutMs=9_000 + self.rng.randrange(1000))
+        await self._send_until_acknowledged("PATCH", {"upsert": {"routes": [changed]}})
 
     async def read(self, address: str) -> dict[str, Any] | None:
-        """The configuration as one node tells it; None while it can't."""
+        """Returns the configuration read from one node, or None if the node does not answer with 200."""
         status, body = await self._call("GET", address, {}, None)
         return json.loads(body) if status == 200 else None
 
-    async def _until_acknowledged(self, method: str, change: dict[str, Any]) -> None:
+    async def _send_until_acknowledged(self, method: str, change: dict[str, Any]) -> None:
         async with self._lock:
             version = self.acknowledged + 1
             body = json.dumps({"version": version, **change}).encode()
             headers = {"If-Match": str(self.acknowledged), "Content-Type": "application/json"}
             try:
                 async with asyncio.timeout(CHANGE_TIMEOUT_S):
-                    while not await self._is_taken(method, headers, body, version):
-                        await asyncio.sleep(RETRY_S)
+                    while not await self._is_settled(method, headers, body, version):
+                        await asyncio.sleep(RETRY_INTERVAL_S)
             except TimeoutError:
                 self.faults.append(f"change {version} was not acknowledged in {CHANGE_TIMEOUT_S:.0f} s")
                 return
             self.acknowledged = version
             self.changes += 1
 
-    async def _is_taken(self, method: str, headers: dict[str, str], body: bytes, version: int) -> bool:
-        node = self.draw.choice(self.system.controls)
+    async def _is_settled(self, method: str, headers: dict[str, str], body: bytes, version: int) -> bool:
+        node = self.rng.choice(self.system.controls)
         address = self.system.control_address(node)
         status, text = await self._call(method, address, headers, body)
         if 400 <= status < 500 and status not in (408, 429):
@@ -73,7 +73,7 @@
     async def _call(
         self, method: str, address: str, headers: dict[str, str], body: bytes | None
     ) -> tuple[int, bytes]:
-        """Status 0 where there is no answer."""
+        """Returns the status and body of a response; status 0 means that there was none."""
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         url = f"http://{address}/configuration"
         try:
--- a/benchmarks/soak/run.py
+++ b/benchmarks/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: start the system, let clients and faults work side by side, and judge what came of it."""
+"""One soak: starts the system, runs clients and faults concurrently, and checks the outcome."""
 
 from __future__ import annotations
 
@@ -14,19 +14,22 @@
 
 from arrowfold.standins.local_system import LocalSystem
 from benchmarks.soak.clients import SentRequest, SoakClient
-from benchmarks.soak.faults import Faults
-from benchmarks.soak.judge import Judge
+from benchmarks.soak.faults import FaultInjector
+from benchmarks.soak.judge import RequestChecker
 from benchmarks.soak.operator import Operator
 from benchmarks.soak.workers import WorkerFleet
 
-READY_TIMEOUT_S = 120.0  # for many processes that start at once
+READY_TIMEOUT_S = 120.0  # many processes start at the same time
 CLIENT_END_S = 30.0
 POLL_S = 0.1
 
 
 @dataclass(frozen=True)
 class SoakPlan:
-    """How large a soak is. `series` of `length` faults each run side by side."""
+    """The size of a soak: `series` concurrent series of `length` faults each.
+
+    `checks_timing` also checks guarantees about durations, which a busy machine can violate.
+    """
 
     seed: int
     edges: int = 3
@@ -34,20 +37,20 @@
     clients: int = 60
     series: int = 3
     length: int = 5
-    holds_times: bool = True
+    checks_timing: bool = True
 
 
 @dataclass
 class SoakReport:
-    """What a soak saw."""
+    """The faults found by a soak, and its figures."""
 
     seed: int
     faults: list[str] = field(default_factory=list)
     figures: dict[str, Any] = field(default_factory=dict)
 
 
-def play(folder: Path, plan: SoakPlan) -> SoakReport:
-    """Run one soak; every process that it starts has ended when it returns."""
+def run_soak(folder: Path, plan: SoakPlan) -> SoakReport:
+    """Runs one soak; all processes that it started have ended when it returns."""
     system = LocalSystem(folder, plan.edges, "INFO")
     report = SoakReport(plan.seed)
     started = time.monotonic()
@@ -69,35 +72,35 @@
         self._system = system
         self._plan = plan
         self._report = report
-        self._draw = random.Random(plan.seed)
+        self._rng = random.Random(plan.seed)
         self._requests: list[SentRequest] = []
-        self._workers = WorkerFleet(system, self._draw)
+        self._workers = WorkerFleet(system, self._rng)
 
     async def run(self) -> None:
-        """Start, strike, settle, judge."""
+        """Starts the system, injects faults, waits for recovery and checks the outcome."""
         for node in [*self._system.controls, *self._system.edges]:
             self._system.start(node)
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
-            operator = Operator(self._system, self._draw, session)
+            operator = Operator(self._system, self._rng, session)
             try:
                 await self._workers.start(self._plan.workers)
-                await operator.first()
-                await self._until_all_serve(session)
-                faults = Faults(self._system, operator, self._workers, self._draw)
-                await self._strike(faults)
-                await self._until_all_serve(session)
-                await self._read_back(operator)
+                await operator.send_initial()
+                await self._wait_until_ready(session)
+                injector = FaultInjector(self._system, operator, self._workers, self._rng)
+                await self._run_faults(injector)
+                await self._wait_until_ready(session)
+                await self._check_final_version(operator)
             finally:
                 await self._workers.stop()
-        self._judge(faults, operator)
+        self._check_outcome(injector, operator)
 
-    async def _strike(self, faults: Faults) -> None:
+    async def _run_faults(self, injector: FaultInjector) -> None:
         clients = [
-            SoakClient(self._system, random.Random(self._draw.random()), self._requests, number % 2 == 0)
+            SoakClient(self._system, random.Random(self._rng.random()), self._requests, number % 2 == 0)
             for number in range(self._plan.clients)
         ]
         running = [asyncio.create_task(client.run()) for client in clients]
-        await faults.play(self._plan.series, self._plan.length)
+        await injector.run(self._plan.series, self._plan.length)
         for client in clients:
             client.stopping.set()
         await asyncio.wait(running, timeout=CLIENT_END_S)
@@ -107,22 +110,22 @@
             if isinstance(outcome, Exception):
                 self._report.faults.append(f"a client ended: {outcome!r}")
 
-    async def _until_all_serve(self, session: aiohttp.ClientSession) -> None:
-        """Every edge says that it is ready."""
+    async def _wait_until_ready(self, session: aiohttp.ClientSession) -> None:
+        """Waits until every edge reports that it is ready."""
         for edge in self._system.edges:
             url = f"http://{self._system.readiness_address(edge)}/readyz"
-            await self._until(lambda url=url: _is_ready(session, url), f"{edge.name} is not ready")
+            await self._wait_until(lambda url=url: _is_ready(session, url), f"{edge.name} is not ready")
 
-    async def _until(self, holds: Callable[[], Any], otherwise: str) -> None:
+    async def _wait_until(self, condition: Callable[[], Any], problem: str) -> None:
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
-                while not await holds():
+                while not await condition():
                     await asyncio.sleep(POLL_S)
         except TimeoutError:
-            self._report.faults.append(f"{otherwise} after {READY_TIMEOUT_S:.0f} s")
+            self._report.faults.append(f"{problem} after {READY_TIMEOUT_S:.0f} s")
 
-    async def _read_back(self, operator: Operator) -> None:
-        """Every control node tells the newest version that was acknowledged."""
+    async def _check_final_version(self, operator: Operator) -> None:
+        """Checks that every control node returns the newest acknowledged version."""
         for node in self._system.controls:
             address = self._system.control_address(node)
 
@@ -130,26 +133,30 @@
                 found = await operator.read(address)
                 return found is not None and found["version"] == operator.acknowledged
 
-            await self._until(is_newest, f"{node.name} does not tell version {operator.acknowledged}")
+            await self._wait_until(is_newest, f"{node.name} does not return version {operator.acknowledged}")
 
-    def _judge(self, faults: Faults, operator: Operator) -> None:
-        judge = Judge(faults.strikes, self._workers.run_counts(), self._plan.holds_times)
+    def _check_outcome(self, injector: FaultInjector, operator: Operator) -> None:
+        checker = RequestChecker(injector.events, self._workers.run_counts(), self._plan.checks_timing)
         requests = [request for request in self._requests if request.ended_s is not None]
-        verdict = judge.judge(requests)
-        self._report.faults += [*verdict.faults, *operator.faults]
-        self._report.faults += [f"{name} did not end" for name in faults.never_ended]
-        for strike in faults.strikes:
-            if strike.ended_badly:
-                self._report.faults.append(f"{strike.node} ({strike.process}) ended with {strike.exit_code}")
-        ends = [s.ended_s - s.at_s for s in faults.strikes if s.kind == "terminate" and s.ended_s is not None]
+        result = checker.check(requests)
+        self._report.faults += [*result.faults, *operator.faults]
+        self._report.faults += [f"{name} did not end" for name in injector.hung_nodes]
+        for event in injector.events:
+            if event.ended_abnormally:
+                self._report.faults.append(f"{event.node} ({event.process}) ended with {event.exit_code}")
+        termination_durations_s = [
+            event.ended_s - event.at_s
+            for event in injector.events
+            if event.kind == "terminate" and event.ended_s is not None
+        ]
         self._report.figures |= {
             "requests": len(requests),
             "on kept connections": sum(not request.first_on_connection for request in requests),
-            "sent late to a process that ends": verdict.late_sends,
-            "outcomes": dict(sorted(verdict.counts.items())),
-            "faults": dict(sorted(faults.done.items())),
+            "sent late to a process that ends": result.late_sends,
+            "outcomes": dict(sorted(result.counts.items())),
+            "faults": dict(sorted(injector.counts_by_kind.items())),
             "changes acknowledged": operator.changes,
-            "longest planned end, s": round(max(ends, default=0.0), 2),
+            "longest planned end, s": round(max(termination_durations_s, default=0.0), 2),
         }
 
 
--- a/benchmarks/soak/workers.py
+++ b/benchmarks/soak/workers.py
@@ -1,4 +1,4 @@
-"""The stand-in workers of a soak: they come, drain and leave while requests run."""
+"""The simulated workers of a soak, which are added, drained and removed while requests run."""
 
 from __future__ import annotations
 
@@ -11,66 +11,66 @@
 from arrowfold.standins.model_workers import RequestRun, StandInWorker, WorkerProfile
 from arrowfold.standins.trial_configuration import MODEL
 
-BEAT_INTERVAL_S = 0.5
-SERVES_ON_S = 2.0  # after its notice of leaving was acknowledged
-WORK_S = (0.005, 0.05, 0.4)
-EVENT_PAUSES_S = (0.1, 0.6, 0.6)  # in turn: the longer streams outlive the listener of an edge that ends
+HEARTBEAT_INTERVAL_S = 0.5
+SERVE_AFTER_DRAIN_S = 2.0  # time for which a worker still serves after its drain was acknowledged
+WORK_DURATIONS_S = (0.005, 0.05, 0.4)
+EVENT_PAUSES_S = (0.1, 0.6, 0.6)  # by turns; with 0.6 s, streams outlive a terminating edge's listener
 SLOTS = 64
 
 
 @dataclass
 class WorkerFleet:
-    """Workers of both services; those that left are kept for what they ran."""
+    """Workers of both services; removed workers are kept for the record of their runs."""
 
     system: LocalSystem
-    draw: random.Random
-    present: list[StandInWorker] = field(default_factory=list)
-    gone: list[StandInWorker] = field(default_factory=list)
-    _numbers: int = 0
+    rng: random.Random
+    active: list[StandInWorker] = field(default_factory=list)
+    removed: list[StandInWorker] = field(default_factory=list)
+    _last_number: int = 0
 
     async def start(self, count: int) -> None:
-        """Start so many, half of them for streams."""
+        """Starts `count` workers, every other one for streams."""
         for number in range(count):
             await self._add(streams=number % 2 == 0)
 
     async def _add(self, streams: bool) -> None:
-        self._numbers += 1
+        self._last_number += 1
         profile = WorkerProfile(
-            f"i-{self._numbers}",
+            f"i-{self._last_number}",
             "chat" if streams else "lookup",
-            f"zone-{self._numbers % 3 + 1}",
+            f"zone-{self._last_number % 3 + 1}",
             streams,
             [MODEL] if streams else [],
             capacity_slots=SLOTS,
-            work_s=self.draw.choice(WORK_S),
-            event_pause_s=EVENT_PAUSES_S[self._numbers % len(EVENT_PAUSES_S)],
+            work_s=self.rng.choice(WORK_DURATIONS_S),
+            event_pause_s=EVENT_PAUSES_S[self._last_number % len(EVENT_PAUSES_S)],
         )
         controls = [self.system.control_address(node) for node in self.system.controls]
-        self.draw.shuffle(controls)
-        worker = StandInWorker(profile, controls, BEAT_INTERVAL_S)
+        self.rng.shuffle(controls)
+        worker = StandInWorker(profile, controls, HEARTBEAT_INTERVAL_S)
         await worker.start(self.system.worker_host)
-        self.present.append(worker)
+        self.active.append(worker)
 
     async def replace(self) -> None:
-        """A new worker comes, then one of the same service drains and leaves."""
-        if not self.present:
+        """Adds a new worker, then drains and removes one of the same service."""
+        if not self.active:
             return
-        worker = self.draw.choice(self.present)
-        self.present.remove(worker)
+        worker = self.rng.choice(self.active)
+        self.active.remove(worker)
         await self._add(worker.profile.streams)
         await worker.drain()
-        await asyncio.sleep(SERVES_ON_S)
+        await asyncio.sleep(SERVE_AFTER_DRAIN_S)
         await worker.leave()
-        self.gone.append(worker)
+        self.removed.append(worker)
 
     async def stop(self) -> None:
-        """End them all."""
-        await asyncio.gather(*(worker.stop() for worker in [*self.present, *self.gone]))
+        """Stops all workers."""
+        await asyncio.gather(*(worker.stop() for worker in [*self.active, *self.removed]))
 
     def runs(self) -> list[RequestRun]:
-        """Every run of every worker."""
-        return [run for worker in [*self.present, *self.gone] for run in worker.runs]
+        """Returns every run of every worker."""
+        return [run for worker in [*self.active, *self.removed] for run in worker.runs]
 
     def run_counts(self) -> Counter[str]:
-        """How often each attempt ran."""
+        """Returns the number of runs of each attempt."""
         return Counter(run.attempt for run in self.runs())
--- a/tests/system/test_soak.py
+++ b/tests/system/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks of the whole system as processes: signals, restarts and changes that overlap, by a seed."""
+"""Short seeded soaks of the whole system as processes, with overlapping signals, restarts and changes."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import pytest
 
-from benchmarks.soak.run import SoakPlan, play
+from benchmarks.soak.run import SoakPlan, run_soak
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_given_faults_that_overlap_then_no_promise_to_a_client_is_broken(seed: int, tmp_path: Path) -> None:
-    report = play(tmp_path, SoakPlan(seed, series=3, length=4, holds_times=False))
+def test_given_overlapping_faults_then_no_client_guarantee_is_violated(seed: int, tmp_path: Path) -> None:
+    report = run_soak(tmp_path, SoakPlan(seed, series=3, length=4, checks_timing=False))
     assert report.faults == []
     outcomes = report.figures["outcomes"]
     assert outcomes["served"] > sum(outcomes.values()) // 2
