--- a/benchmarks/jobs.py
+++ b/benchmarks/jobs.py
@@ -1,8 +1,8 @@
-"""Jobs of benchmarks in processes of their own: spawned, one a job, each with a deadline.
+"""Runs the jobs of benchmarks in spawned processes, one for each job, each with a deadline.
 
-A pool that replaces its workers forks beside its own threads: a lock that another thread holds at that moment
-stays locked in the child for ever. So each job gets a fresh interpreter here, and one that is not done by its
-deadline is ended and tells where all of its threads stood.
+A process pool that replaces its workers forks while its own threads run: a lock that another thread holds at
+that moment stays locked in the child forever. Each job therefore gets a fresh interpreter. A job that misses
+its deadline is terminated, and the stacks of all its threads are reported.
 """
 
 from __future__ import annotations
@@ -22,86 +22,89 @@
 
 JobT = TypeVar("JobT")
 ResultT = TypeVar("ResultT")
-END_GRACE_S = 10.0  # beyond the deadline, for a process to write its stacks and end by itself
+END_GRACE_S = 10.0  # time after the deadline for a process to write its stacks and exit
 
 
 @dataclass(frozen=True, slots=True)
-class JobFault:
-    """A job that ended without a result: why, and the stacks of its threads if it stood still."""
+class JobFailure:
+    """The reason why a job ended without a result, and its threads' stacks if it missed its deadline."""
 
     reason: str
     stacks: str = ""
 
 
 @dataclass(slots=True)
-class _Running(Generic[JobT]):
-    """A job under way."""
+class _RunningJob(Generic[JobT]):
+    """A job in progress."""
 
     job: JobT
     process: BaseProcess
     results: Connection
     stacks: Path
-    ends_s: float  # by the steady clock: its process is killed then
+    kill_at_s: float  # time of the monotonic clock at which the process is killed
 
 
 def run_jobs(
     work: Callable[[JobT], ResultT], jobs: Iterable[JobT], processes: int, deadline_s: float
-) -> Iterator[tuple[JobT, Result[ResultT, JobFault]]]:
-    """Each job with its result, as they end; `work` is a function of a module, `deadline_s` a job's bound.
+) -> Iterator[tuple[JobT, Result[ResultT, JobFailure]]]:
+    """Yields each job with its result in order of completion.
 
-    At most `processes` run at a time. Jobs are taken from the iterable only as processes become free, so an
-    iterable that ends at some time begins no job after it.
+    `work` must be a module-level function; `deadline_s` is the time limit of each job in seconds. At most
+    `processes` run at a time. Jobs are taken from the iterable only as processes become free, so an iterable
+    can stop at a certain time and no job starts after it.
     """
-    waiting = iter(jobs)
-    running: list[_Running[JobT]] = []
+    pending = iter(jobs)
+    running: list[_RunningJob[JobT]] = []
     with tempfile.TemporaryDirectory() as folder:
         try:
             while True:
-                while len(running) < processes and (job := next(waiting, None)) is not None:
-                    running.append(_start(work, job, Path(folder), deadline_s))
+                while len(running) < processes and (job := next(pending, None)) is not None:
+                    running.append(_start_job(work, job, Path(folder), deadline_s))
                 if not running:
                     return
-                ended = _ended(running)
+                ended = _wait_for_ended(running)
                 for item in ended:
                     running.remove(item)
-                    yield item.job, _result(item)
+                    yield item.job, _collect_result(item)
         finally:
             for item in running:
                 item.process.kill()
                 item.process.join()
 
 
-def _start(work: Callable[[JobT], ResultT], job: JobT, folder: Path, deadline_s: float) -> _Running[JobT]:
+def _start_job(
+    work: Callable[[JobT], ResultT], job: JobT, folder: Path, deadline_s: float
+) -> _RunningJob[JobT]:
     context = multiprocessing.get_context("spawn")
     receiver, sender = context.Pipe(duplex=False)
     stacks = folder / f"{time.monotonic_ns()}.txt"
-    process = context.Process(target=_run_one, args=(sender, work, job, str(stacks), deadline_s))
+    process = context.Process(target=_run_job, args=(sender, work, job, str(stacks), deadline_s))
     process.start()
     sender.close()
-    return _Running(job, process, receiver, stacks, time.monotonic() + deadline_s + END_GRACE_S)
+    return _RunningJob(job, process, receiver, stacks, time.monotonic() + deadline_s + END_GRACE_S)
 
 
-def _run_one(
+def _run_job(
     results: Connection, work: Callable[[Any], Any], job: object, stacks: str, deadline_s: float
 ) -> None:
-    """In the process of a job: do it, or tell where it stood at its deadline and end."""
+    """Runs in the job's process: sends the result, or writes all stacks and exits at the deadline."""
     with open(stacks, "w", encoding="utf-8") as file:
         faulthandler.dump_traceback_later(deadline_s, exit=True, file=file)
         results.send((work(job),))
         faulthandler.cancel_dump_traceback_later()
 
 
-def _ended(running: list[_Running[JobT]]) -> list[_Running[JobT]]:
-    """Wait until some have a result or have ended; those that outlived their deadline are killed."""
-    soonest_s = min(item.ends_s for item in running)
-    ready = wait([item.results for item in running], max(0.0, soonest_s - time.monotonic()))
+def _wait_for_ended(running: list[_RunningJob[JobT]]) -> list[_RunningJob[JobT]]:
+    """Waits until some jobs have a result or have ended, and kills those whose time to exit has passed."""
+    next_kill_s = min(item.kill_at_s for item in running)
+    ready = wait([item.results for item in running], max(0.0, next_kill_s - time.monotonic()))
     for item in running:
-        if item.ends_s <= time.monotonic():
+        if item.kill_at_s <= time.monotonic():
             item.process.kill()
-    return [item for item in running if item.results in ready or item.ends_s <= time.monotonic()]
+    return [item for item in running if item.results in ready or item.kill_at_s <= time.monotonic()]
 
 
-def _result(item: _Running[JobT]) -> Result[Any, JobFault]:
+def _collect_result(item: _RunningJob[JobT]) -> Result[Any, JobFailure]:
     try:
         received: tuple[Any] | None = item.results.recv() if item.results.poll() else None
     except EOFError:
@@ -111,4 +114,4 @@
     if received is not None:
         return Ok(received[0])
     stacks = item.stacks.read_text(encoding="utf-8") if item.stacks.exists() else ""
-    return Err(JobFault(f"ended without a result, code {item.process.exitcode}", stacks))
+    return Err(JobFailure(f"ended without a result, code {item.process.exitcode}", stacks))
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of benchmarks: each in a process of its own, and none may stand still unseen."""
+"""Each benchmark job runs in its own process, and a job that hangs is reported."""
 
 from __future__ import annotations
 
@@ -13,53 +13,53 @@
 from benchmarks.jobs import run_jobs
 
 DEADLINE_S = 60.0
-SHORT_S = 1.0
-HELD = threading.Lock()
+SHORT_DEADLINE_S = 1.0
+LOCK = threading.Lock()
 
 
 def process_of(job: int) -> tuple[int, int]:
-    """The job, and the process that did it."""
+    """Returns the job and the id of the process that ran it."""
     return job, os.getpid()
 
 
-def wait_for_ever(job: int) -> int:
-    """Stand still as a child does whose parent's other thread held a lock."""
+def wait_forever(job: int) -> int:
+    """Deadlocks if the job is 1, like a forked child whose parent's other thread held a lock."""
     if job == 1:
-        HELD.acquire()
-        HELD.acquire()
+        LOCK.acquire()
+        LOCK.acquire()
     return job
 
 
-def die(job: int) -> int:
-    """End without a result where the job is 1."""
+def exit_without_result(job: int) -> int:
+    """Exits without a result if the job is 1."""
     if job == 1:
         os._exit(9)
     return job
 
 
-def fail(job: int) -> int:
-    """Raise where the job is 1."""
+def raise_error(job: int) -> int:
+    """Raises an exception if the job is 1."""
     if job == 1:
         raise ValueError("the job is at fault")
     return job
 
 
-def test_each_job_has_a_process_of_its_own() -> None:
+def test_each_job_runs_in_its_own_process() -> None:
     results = dict(run_jobs(process_of, range(4), 2, DEADLINE_S))
     assert {job: result.unwrap()[0] for job, result in results.items()} == {job: job for job in range(4)}
     processes = {result.unwrap()[1] for result in results.values()}
     assert len(processes) == 4 and os.getpid() not in processes
 
 
-def test_given_a_job_that_stands_still_then_its_stacks_are_told_and_the_others_end() -> None:
-    results = dict(run_jobs(wait_for_ever, range(3), 3, SHORT_S))
+def test_given_a_job_that_hangs_then_its_stacks_are_reported_and_the_others_finish() -> None:
+    results = dict(run_jobs(wait_forever, range(3), 3, SHORT_DEADLINE_S))
     assert results[0] == Ok(0) and results[2] == Ok(2)
-    fault = results[1].unwrap_err()
-    assert "wait_for_ever" in fault.stacks
+    failure = results[1].unwrap_err()
+    assert "wait_forever" in failure.stacks
 
 
-def test_given_a_job_that_dies_or_fails_then_that_is_its_result() -> None:
-    for work, code in ((die, "code 9"), (fail, "code 1")):
+def test_given_a_job_that_exits_or_raises_then_its_exit_code_is_reported() -> None:
+    for work, code in ((exit_without_result, "code 9"), (raise_error, "code 1")):
         results = dict(run_jobs(work, range(3), 3, DEADLINE_S))
         assert results[0] == Ok(0) and results[2] == Ok(2)
         assert isinstance(results[1], Err) and code in results[1].err_value.reason
