--- a/benchmarks/guards/__main__.py
+++ b/benchmarks/guards/__main__.py
@@ -25,7 +25,7 @@
 from result import Err
 
 from benchmarks.guards.catalogue import GUARDS, Guard
-from benchmarks.guards.trial import TRIAL_TIMEOUT_S, Finding, try_without
+from benchmarks.guards.trial import TRIAL_TIMEOUT_S, Finding, run_trial
 from benchmarks.jobs import run_jobs
 
 DEADLINE_S = TRIAL_TIMEOUT_S + 60.0
@@ -33,7 +33,7 @@
 
 def _run(guards: list[Guard], processes: int) -> dict[str, Finding]:
     findings = {}
-    for guard, result in run_jobs(try_without, guards, processes, DEADLINE_S):
+    for guard, result in run_jobs(run_trial, guards, processes, DEADLINE_S):
         if isinstance(result, Err):
             print(f"{guard.name}: {result.err_value.reason}\n{result.err_value.stacks}", flush=True)
             continue
@@ -42,11 +42,11 @@
     return findings
 
 
-def _write(path: Path, findings: dict[str, Finding]) -> None:
-    kept: dict[str, dict[str, Any]] = {}
+def _merge_results(path: Path, findings: dict[str, Finding]) -> None:
+    previous_rows: dict[str, dict[str, Any]] = {}
     if path.exists():
-        kept = {row["name"]: row for row in json.loads(path.read_text(encoding="utf-8"))}
-    rows = {**kept, **{name: asdict(finding) for name, finding in findings.items()}}
+        previous_rows = {row["name"]: row for row in json.loads(path.read_text(encoding="utf-8"))}
+    rows = {**previous_rows, **{name: asdict(finding) for name, finding in findings.items()}}
     ordered = [rows[guard.name] for guard in GUARDS if guard.name in rows]
     path.write_text(json.dumps(ordered, indent=1) + "\n", encoding="utf-8")
 
@@ -58,11 +58,11 @@
         for guard in GUARDS:
             print(f"{guard.file:36} {guard.name}")
         return 0
-    wanted = [guard for guard in GUARDS if not options["NAME"] or guard.name in options["NAME"]]
-    findings = _run(wanted, int(options["--processes"]))
+    selected = [guard for guard in GUARDS if not options["NAME"] or guard.name in options["NAME"]]
+    findings = _run(selected, int(options["--processes"]))
     if options["--result"]:
-        _write(Path(options["--result"]), findings)
-    return int(any(finding.red is None for finding in findings.values()) or len(findings) < len(wanted))
+        _merge_results(Path(options["--result"]), findings)
+    return int(any(finding.red is None for finding in findings.values()) or len(findings) < len(selected))
 
 
 if __name__ == "__main__":
