--- a/benchmarks/control_figures.py
+++ b/benchmarks/control_figures.py
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "control-guarantees.md"
-MARK = "<!-- figures -->"
+FIGURES_MARKER = "<!-- figures -->"
 STATE_RESULTS = ROOT / "benchmarks" / "control_state" / "results"
 KILL_RESULTS = ROOT / "benchmarks" / "control_kills" / "results"
 GUARD_RESULTS = ROOT / "benchmarks" / "guards" / "results"
@@ -34,7 +34,7 @@
     return "\n".join("| " + " | ".join(str(cell) for cell in line) + " |" for line in lines)
 
 
-def _model(name: str, command: str) -> str:
+def _model_section(name: str, command: str) -> str:
     rows = _read(MODEL_RESULTS / name)
     if rows is None:
         return f"`{command}`: not run.\n"
@@ -54,7 +54,7 @@
     return f"`{command}`\n\n{_table(head, cells)}\n"
 
 
-def _runs(command: str, files: tuple[str, ...]) -> str:
+def _schedule_section(command: str, files: tuple[str, ...]) -> str:
     runs = [_read(STATE_RESULTS / name) for name in files]
     names = ("schedules", "seconds", "core_s", "acknowledged", "departures", "reads", "acts", "lost")
     names += ("back_steps", "two_holders", "stuck", "other", "longest_recovery_s")
@@ -66,17 +66,17 @@
     return f"`{command}`\n\n{_table(['size', *names], rows)}\n"
 
 
-def _guards() -> str:
+def _guard_section() -> str:
     command = "python -m benchmarks.guards run --result FILE"
-    found = {row["name"]: row["red"] for row in _read(GUARD_RESULTS / "guards.json") or []}
+    red_tests = {row["name"]: row["red"] for row in _read(GUARD_RESULTS / "guards.json") or []}
     rows: list[list[object]] = []
     for guard in GUARDS:
-        red = found.get(guard.name) or "**nothing red**" if guard.name in found else "not run"
+        red = red_tests.get(guard.name) or "**nothing red**" if guard.name in red_tests else "not run"
         rows.append([guard.name, f"`{guard.file}`", red.partition("::")[2] or red])
     return f"`{command}`\n\n{_table(['guard', 'file', 'red without it'], rows)}\n"
 
 
-def _planted() -> str:
+def _planted_fault_section() -> str:
     command = "python -m benchmarks.control_state planted --schedules 60 --result FILE"
     rows = _read(STATE_RESULTS / "planted.json") or []
     cells: list[list[object]] = [
@@ -85,7 +85,7 @@
     return f"`{command}` (3 / 1 and 5 / 2 by turns)\n\n{_table(['fault', 'schedules', 'found as'], cells)}\n"
 
 
-def _kills() -> str:
+def _kill_section() -> str:
     command = "python -m benchmarks.control_kills --faults 250 --result FILE"
     runs = [run for name in ("three.json", "five.json") if (run := _read(KILL_RESULTS / name)) is not None]
     names = ["seconds", "acknowledged", "sent again", "reads", "acknowledged and not found"]
@@ -99,37 +99,39 @@
     return f"`{command}`\n\n{_table(['size', 'faults', *names], rows)}\n\n{kinds}\n"
 
 
-def figures() -> str:
-    """The section of the page."""
+def figures_section() -> str:
+    """Returns the generated section of the page."""
     parts = [
         "### The model, no fault planted\n",
-        _model("clean.json", "python -m benchmarks.control_model run --seconds 240 --result FILE"),
+        _model_section("clean.json", "python -m benchmarks.control_model run --seconds 240 --result FILE"),
         "### The model, planted faults\n",
-        _model("planted.json", "python -m benchmarks.control_model planted --seconds 60 --result FILE"),
+        _model_section(
+            "planted.json", "python -m benchmarks.control_model planted --seconds 60 --result FILE"
+        ),
         "### Schedules, planted faults\n",
-        _planted(),
+        _planted_fault_section(),
         "### Schedules, long runs\n",
-        _runs(
+        _schedule_section(
             "python -m benchmarks.control_state run --seconds 1800 --result FILE",
             ("long-3-1.json", "long-4-1.json", "long-5-2.json"),
         ),
         "### Schedules in which all lose power, edges too, while disks are lost (5 / 2: --seconds 330)\n",
-        _runs(
+        _schedule_section(
             "python -m benchmarks.control_state run --blackouts --schedules 1000 --result FILE",
             ("blackouts-3-1.json", "blackouts-5-2.json"),
         ),
         "### Guards taken out one at a time\n",
-        _guards(),
+        _guard_section(),
         "### Real processes on loopback\n",
-        _kills(),
+        _kill_section(),
     ]
     return "\n".join(parts)
 
 
 def page_with_figures() -> str:
-    """The whole page, with the figures as the result files have them."""
-    before, mark, _ = PAGE.read_text().partition(MARK)
-    return f"{before}{mark}\n\n{figures()}"
+    """Returns the whole page, with its figures regenerated from the result files."""
+    before, marker, _ = PAGE.read_text().partition(FIGURES_MARKER)
+    return f"{before}{marker}\n\n{figures_section()}"
 
 
 def main() -> int:
@@ -137,7 +139,7 @@
     if docopt(__doc__)["write"]:
         PAGE.write_text(page_with_figures())
     else:
-        print(figures())
+        print(figures_section())
     return 0
 
 
