--- a/benchmarks/rounds/__main__.py
+++ b/benchmarks/rounds/__main__.py
@@ -37,19 +37,19 @@
 from docopt import docopt
 
 from benchmarks.rounds.comparison import comparison_lines, load_pairs, plot
-from benchmarks.rounds.playing import Player, PlayOptions, collect_journal
+from benchmarks.rounds.playing import BenchRunner, PlayOptions, collect_journal
 from benchmarks.rounds.plays import interleaved
-from benchmarks.rounds.texts import parse_text, prepare
+from benchmarks.rounds.texts import parse_text, prepare_clone
 
 FAILED, FAULTY_INPUT = 1, 2
 
 
 def main(arguments: list[str]) -> int:
-    """Obey the command line; returns the exit code."""
+    """Runs the command line; returns the exit code."""
     options = docopt(__doc__, argv=arguments)
     folder = Path(options["FOLDER"]).resolve()
     if folder.is_relative_to(Path(tempfile.gettempdir()).resolve()):
-        return _refuse(f"{folder} lies in the temporary folder")
+        return _report_input_error(f"{folder} lies in the temporary folder")
     if options["play"]:
         return _play(folder, options)
     return _compare(folder, options)
@@ -61,12 +61,12 @@
         seeds = [int(seed) for seed in options["--seeds"].split(",")]
         jobs, least_free_gb = int(options["--jobs"]), float(options["--least-free-gb"])
     except ValueError as error:
-        return _refuse(str(error))
+        return _report_input_error(str(error))
     sites = [Path(site).resolve() for site in options["--site"]]
-    if faulty := [site for site in sites if not site.is_file()]:
-        return _refuse(f"there is no site file {faulty[0]}")
-    clones = {source.name: prepare(source, Path.cwd(), folder) for source in sources}
-    player = Player(
+    if missing_files := [site for site in sites if not site.is_file()]:
+        return _report_input_error(f"there is no site file {missing_files[0]}")
+    clones = {source.name: prepare_clone(source, Path.cwd(), folder) for source in sources}
+    runner = BenchRunner(
         folder,
         clones,
         PlayOptions(
@@ -78,10 +78,10 @@
             reason=options["--why"],
         ),
     )
-    failed = player.play_all(interleaved(list(clones), sites, options["--day"], seeds))
+    failed = runner.play_all(interleaved(list(clones), sites, options["--day"], seeds))
     print(f"{collect_journal(clones, Path(options['--journal']))} new journal entries")
     for play in failed:
-        print(f"FAILED: {play.text} on {play.occasion.name}; see its log")
+        print(f"FAILED: {play.text} on {play.scenario.name}; see its log")
     return FAILED if failed else 0
 
 
@@ -89,7 +89,7 @@
     first, second = options["FIRST"], options["SECOND"]
     pairs = load_pairs(folder, first, second)
     if not pairs:
-        return _refuse(f"{folder}: no occasion that both {first} and {second} have played")
+        return _report_input_error(f"{folder}: no scenario that both {first} and {second} have played")
     for line in comparison_lines(pairs, first, second):
         print(line)
     if options["--plot"]:
@@ -97,7 +97,7 @@
     return 0
 
 
-def _refuse(text: str) -> int:
+def _report_input_error(text: str) -> int:
     print(f"rounds: {text}", file=sys.stderr)
     return FAULTY_INPUT
 
--- a/benchmarks/rounds/comparison.py
+++ b/benchmarks/rounds/comparison.py
@@ -1,4 +1,4 @@
-"""Two texts compared over the occasions that both have played: tables, one sentence, a plot."""
+"""Compares two texts over the scenarios that both have played: tables, a summary sentence and a plot."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from benchmarks.rounds.plays import REPORTS, Occasion, paired_occasions
+from benchmarks.rounds.plays import REPORTS_FOLDER, Scenario, paired_scenarios
 from benchmarks.rounds.reports import WORTH, DayReport, compared_figures, read_report
 from benchmarks.rounds.statistics import PairedDifference, Verdict, paired_difference
 
@@ -15,33 +15,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Pair:
-    """One occasion as both texts played it."""
+    """The reports of both texts on one scenario."""
 
-    occasion: Occasion
+    scenario: Scenario
     first: DayReport
     second: DayReport
 
 
 def load_pairs(folder: Path, first: str, second: str) -> list[Pair]:
-    """All pairs of two texts."""
+    """Loads the reports of all scenarios that both texts have played."""
 
-    def report(text: str, occasion: Occasion) -> DayReport:
-        return read_report(folder / REPORTS / text / f"{occasion.name}.json")
+    def report(text: str, scenario: Scenario) -> DayReport:
+        return read_report(folder / REPORTS_FOLDER / text / f"{scenario.name}.json")
 
-    occasions = paired_occasions(folder, first, second)
-    return [Pair(occasion, report(first, occasion), report(second, occasion)) for occasion in occasions]
+    scenarios = paired_scenarios(folder, first, second)
+    return [Pair(scenario, report(first, scenario), report(second, scenario)) for scenario in scenarios]
 
 
 def difference(pairs: Sequence[Pair], figure: str) -> PairedDifference:
-    """The difference of one figure over some pairs."""
+    """Returns the difference of one figure over the pairs; a missing figure counts as 0."""
     return paired_difference(
         [pair.first.figures.get(figure, 0.0) for pair in pairs],
         [pair.second.figures.get(figure, 0.0) for pair in pairs],
     )
 
 
-def sentence(first: str, second: str, worth: PairedDifference) -> str:
-    """What the pairs tell, in one sentence."""
+def summary_sentence(first: str, second: str, worth: PairedDifference) -> str:
+    """Summarizes the difference of worth in one sentence."""
     verdict = worth.verdict(larger_is_better=True)
     relation = "is" if verdict is not Verdict.NOT_TOLD_APART else "and"
     words = f"{relation} {verdict.value} than {first}" if relation == "is" else f"and {first} {verdict.value}"
@@ -52,16 +52,16 @@
 
 
 def comparison_lines(pairs: Sequence[Pair], first: str, second: str) -> Iterator[str]:
-    """The whole comparison, line by line."""
-    yield sentence(first, second, difference(pairs, WORTH))
-    broken = [
-        (text, pair.occasion.name, report.broken_rules)
+    """Yields the lines of the whole comparison."""
+    yield summary_sentence(first, second, difference(pairs, WORTH))
+    violations = [
+        (text, pair.scenario.name, report.violated_rules)
         for pair in pairs
         for text, report in ((first, pair.first), (second, pair.second))
-        if report.broken_rules
+        if report.violated_rules
     ]
-    for text, occasion, rules in broken:
-        yield f"BROKEN: {text} on {occasion}: {', '.join(rules)}"
+    for text, scenario, rules in violations:
+        yield f"BROKEN: {text} on {scenario}: {', '.join(rules)}"
     for group, members in _groups(pairs):
         yield ""
         yield f"{group}, {len(members)} pairs{'':24s} {first:>10s} {second:>10s} difference       interval"
@@ -72,12 +72,12 @@
 
 def _groups(pairs: Sequence[Pair]) -> Iterator[tuple[str, list[Pair]]]:
     yield OVERALL, list(pairs)
-    for key in sorted({(pair.occasion.site, pair.occasion.day) for pair in pairs}):
-        yield " ".join(key), [pair for pair in pairs if (pair.occasion.site, pair.occasion.day) == key]
+    for key in sorted({(pair.scenario.site, pair.scenario.day) for pair in pairs}):
+        yield " ".join(key), [pair for pair in pairs if (pair.scenario.site, pair.scenario.day) == key]
 
 
 def _row(all_pairs: Sequence[Pair], figure: str) -> str:
-    """One figure over the pairs that have it: sites differ in their classes."""
+    """Formats one figure over the pairs that have it, since sites have different classes."""
     pairs = [pair for pair in all_pairs if figure in pair.first.figures and figure in pair.second.figures]
     if not pairs:
         return f"  {figure[:44]:44s} not in both texts' reports"
@@ -99,7 +99,7 @@
 
 
 def plot(pairs: Sequence[Pair], first: str, second: str, path: Path) -> None:
-    """Draw the differences of worth and its parts, with their intervals and every pair as a dot."""
+    """Plots the differences of worth and its parts with their intervals, and each pair as a point."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -110,12 +110,16 @@
         *(name for name in compared_figures([p.first for p in pairs]) if name.startswith("part:")),
     ]
     figure, axes = pyplot.subplots(figsize=(8, 1 + 0.6 * len(names)))
-    for place, name in enumerate(reversed(names)):
+    for position, name in enumerate(reversed(names)):
         found = difference(pairs, name)
-        dots = [pair.second.figures[name] - pair.first.figures[name] for pair in pairs]
-        axes.plot(dots, [place] * len(dots), "o", color="tab:gray", alpha=0.4)
+        points = [pair.second.figures[name] - pair.first.figures[name] for pair in pairs]
+        axes.plot(points, [position] * len(points), "o", color="tab:gray", alpha=0.4)
         axes.errorbar(
-            found.mean, place, xerr=[[found.mean - found.low], [found.high - found.mean]], fmt="s", capsize=4
+            found.mean,
+            position,
+            xerr=[[found.mean - found.low], [found.high - found.mean]],
+            fmt="s",
+            capsize=4,
         )
     axes.axvline(0.0, color="black", linewidth=0.8)
     axes.set_yticks(range(len(names)), list(reversed(names)))
--- a/benchmarks/rounds/plays.py
+++ b/benchmarks/rounds/plays.py
@@ -1,4 +1,4 @@
-"""The plays of a round: a text, a site, a day and a seed, and where the report lies."""
+"""The plays of a round: a text, a site, a day and a seed, and the path of the report."""
 
 from __future__ import annotations
 
@@ -6,42 +6,45 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-REPORTS = "plays"
+REPORTS_FOLDER = "plays"
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Occasion:
-    """What is the same for both sides of a pair."""
+class Scenario:
+    """The site, day and seed that both plays of a pair share."""
 
-    site: str  # the name of the site file, without its ending
+    site: str  # name of the site file without its suffix
     day: str
     seed: int
 
     @property
     def name(self) -> str:
-        """A name for files and tables."""
+        """The name used in file names and tables."""
         return f"{self.site}.{self.day}.{self.seed}"
 
 
 @dataclass(frozen=True, slots=True)
 class Play:
-    """One text on one occasion."""
+    """One text on one scenario."""
 
     text: str
-    occasion: Occasion
+    scenario: Scenario
     site_file: Path
 
     def report_file(self, folder: Path) -> Path:
-        """Where its report lies once it has been played."""
-        return folder / REPORTS / self.text / f"{self.occasion.name}.json"
+        """Returns the path of the report, which exists once the play has finished."""
+        return folder / REPORTS_FOLDER / self.text / f"{self.scenario.name}.json"
 
 
 def interleaved(
     texts: Sequence[str], site_files: Sequence[Path], days: Sequence[str], seeds: Sequence[int]
 ) -> list[Play]:
-    """All plays, those of one occasion one after the other: a slow hour of the machine strikes all texts."""
+    """Returns all plays, with those of one scenario next to each other.
+
+    A period in which the machine is slow thus affects all texts equally.
+    """
     return [
-        Play(text, Occasion(site_file.stem, day, seed), site_file)
+        Play(text, Scenario(site_file.stem, day, seed), site_file)
         for seed in seeds
         for site_file in site_files
         for day in days
@@ -49,20 +52,20 @@
     ]
 
 
-def missing(plays: Sequence[Play], folder: Path) -> list[Play]:
-    """The plays that have no report yet: a round that was cut off goes on with these."""
+def pending_plays(plays: Sequence[Play], folder: Path) -> list[Play]:
+    """Returns the plays that have no report yet, with which an interrupted round is resumed."""
     return [play for play in plays if not play.report_file(folder).exists()]
 
 
-def paired_occasions(folder: Path, first: str, second: str) -> list[Occasion]:
-    """The occasions that both texts have played."""
-    found = [set(_played(folder, text)) for text in (first, second)]
-    return sorted(found[0] & found[1])
+def paired_scenarios(folder: Path, first: str, second: str) -> list[Scenario]:
+    """Returns the scenarios that both texts have played."""
+    played = [set(_played_scenarios(folder, text)) for text in (first, second)]
+    return sorted(played[0] & played[1])
 
 
-def _played(folder: Path, text: str) -> list[Occasion]:
-    occasions = []
-    for path in (folder / REPORTS / text).glob("*.json"):
+def _played_scenarios(folder: Path, text: str) -> list[Scenario]:
+    scenarios = []
+    for path in (folder / REPORTS_FOLDER / text).glob("*.json"):
         site, day, seed = path.stem.rsplit(".", 2)
-        occasions.append(Occasion(site, day, int(seed)))
-    return occasions
+        scenarios.append(Scenario(site, day, int(seed)))
+    return scenarios
--- a/benchmarks/rounds/statistics.py
+++ b/benchmarks/rounds/statistics.py
@@ -1,4 +1,4 @@
-"""Differences of pairs with bootstrap intervals, and what can be said of them."""
+"""Paired differences with bootstrap confidence intervals, and the verdicts drawn from them."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 CONFIDENCE = 0.95
 RESAMPLES = 4000
-FEWEST_PAIRS = 4  # of fewer, an interval says nothing
-SEED = 20261202  # of the resampling, so that the same pairs give the same interval
+MIN_PAIRS = 4  # an interval of fewer pairs is not meaningful
+SEED = 20261202  # of the resampling; fixed, so that the same pairs give the same interval
 
 
 class Verdict(Enum):
-    """What the pairs tell of the second text."""
+    """The result for the second text relative to the first."""
 
     BETTER = "better"
     WORSE = "worse"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PairedDifference:
-    """The mean difference, second text less first, with its interval."""
+    """The mean difference (second text minus first) with its confidence interval."""
 
     pairs: int
     mean: float
@@ -33,14 +33,17 @@
     high: float
 
     def verdict(self, larger_is_better: bool) -> Verdict:
-        """Whether the interval lies on one side of 0."""
-        if self.pairs < FEWEST_PAIRS or self.low <= 0.0 <= self.high:
+        """Returns a verdict other than NOT_TOLD_APART only if the interval excludes 0 and pairs suffice."""
+        if self.pairs < MIN_PAIRS or self.low <= 0.0 <= self.high:
             return Verdict.NOT_TOLD_APART
         return Verdict.BETTER if (self.mean > 0) == larger_is_better else Verdict.WORSE
 
 
 def paired_difference(first: Sequence[float], second: Sequence[float]) -> PairedDifference:
-    """The difference of pairs in the same order; the interval is the percentile bootstrap of the mean."""
+    """Returns the mean difference of paired values with its percentile bootstrap interval.
+
+    Raises ValueError if the sequences differ in length or are empty.
+    """
     if len(first) != len(second) or not first:
         raise ValueError(f"{len(first)} and {len(second)} values are no pairs")
     differences = np.asarray(second, dtype=float) - np.asarray(first, dtype=float)
--- a/benchmarks/rounds/texts.py
+++ b/benchmarks/rounds/texts.py
@@ -1,4 +1,4 @@
-"""Scratch clones of the texts that are compared: a revision, or the working tree, each with a policy file."""
+"""Clones of the compared texts: a revision or the working tree, with an optional policy file."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 WORKING_TREE = "WORK"
 POLICY_FILE = "deploy/round-policy.toml"
-TEXTS = "texts"
+CLONES_FOLDER = "texts"
 _PROGRAMS = ("arrowfold.programs.edge", "arrowfold.programs.control")
-_LEFT_OUT = shutil.ignore_patterns(".git", ".venv", "journal", "target", "__pycache__", ".*_cache")
+_IGNORED = shutil.ignore_patterns(".git", ".venv", "journal", "target", "__pycache__", ".*_cache")
 
 
 @dataclass(frozen=True, slots=True)
 class TextSource:
-    """A text by name: a revision of the repository, or its working tree, with an optional policy file."""
+    """A named text: a revision of the repository or its working tree, with an optional policy file."""
 
     name: str
     revision: str
@@ -24,7 +24,7 @@
 
 
 def parse_text(argument: str) -> TextSource:
-    """Read NAME=REVISION or NAME=REVISION+POLICY; raises ValueError where it is neither."""
+    """Parses NAME=REVISION or NAME=REVISION+POLICY; raises ValueError for anything else."""
     name, separator, source = argument.partition("=")
     revision, _, policy = source.partition("+")
     if not (separator and name and revision) or "/" in name or "." in name:
@@ -34,33 +34,33 @@
     return TextSource(name, revision, Path(policy) if policy else None)
 
 
-def prepare(source: TextSource, repository: Path, folder: Path) -> Path:
-    """A clone of the text below `folder`, with its policy named in the deploy file; made once."""
-    clone = folder / TEXTS / source.name
+def prepare_clone(source: TextSource, repository: Path, folder: Path) -> Path:
+    """Returns the clone of a text below `folder`, created if needed, with its policy in the deploy file."""
+    clone = folder / CLONES_FOLDER / source.name
     if clone.exists():
         return clone
-    unfinished = clone.with_name(f"{source.name}.part")
-    shutil.rmtree(unfinished, ignore_errors=True)
-    unfinished.parent.mkdir(parents=True, exist_ok=True)
-    _git("clone", "--quiet", str(repository), str(unfinished))
+    partial = clone.with_name(f"{source.name}.part")
+    shutil.rmtree(partial, ignore_errors=True)
+    partial.parent.mkdir(parents=True, exist_ok=True)
+    _git("clone", "--quiet", str(repository), str(partial))
     if source.revision == WORKING_TREE:
-        _copy_working_tree(repository, unfinished)
+        _copy_working_tree(repository, partial)
     else:
-        _git("-C", str(unfinished), "checkout", "--quiet", source.revision)
+        _git("-C", str(partial), "checkout", "--quiet", source.revision)
     if source.policy is not None:
-        shutil.copy(source.policy, unfinished / POLICY_FILE)
-        _name_policy(unfinished / "deploy" / "system.toml")
-    unfinished.rename(clone)
+        shutil.copy(source.policy, partial / POLICY_FILE)
+        _pass_policy(partial / "deploy" / "system.toml")
+    partial.rename(clone)
     return clone
 
 
 def _copy_working_tree(repository: Path, clone: Path) -> None:
     for name in ("arrowfold", "deploy"):
         shutil.rmtree(clone / name)
-        shutil.copytree(repository / name, clone / name, ignore=_LEFT_OUT)
+        shutil.copytree(repository / name, clone / name, ignore=_IGNORED)
 
 
-def _name_policy(deploy_file: Path) -> None:
+def _pass_policy(deploy_file: Path) -> None:
     text = deploy_file.read_text(encoding="utf-8")
     for program in _PROGRAMS:
         text = text.replace(f'-m {program}"', f'-m {program} --policy={POLICY_FILE}"')
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -1,4 +1,4 @@
-"""The arithmetic of paired plays, on kept and made reports; nothing here plays."""
+"""Statistics and handling of paired plays, on stored and generated reports; the bench is not run."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 import pytest
 
 from benchmarks.rounds.__main__ import main
-from benchmarks.rounds.comparison import comparison_lines, load_pairs, sentence
-from benchmarks.rounds.playing import Player, PlayOptions, collect_journal
-from benchmarks.rounds.plays import Occasion, Play, interleaved, missing, paired_occasions
+from benchmarks.rounds.comparison import comparison_lines, load_pairs, summary_sentence
+from benchmarks.rounds.playing import BenchRunner, PlayOptions, collect_journal
+from benchmarks.rounds.plays import Play, Scenario, interleaved, paired_scenarios, pending_plays
 from benchmarks.rounds.reports import compared_figures, parse_report, read_report
 from benchmarks.rounds.statistics import PairedDifference, Verdict, paired_difference
-from benchmarks.rounds.texts import POLICY_FILE, parse_text, prepare
+from benchmarks.rounds.texts import POLICY_FILE, parse_text, prepare_clone
 
-KEPT = Path(__file__).parent / "data" / "day_report.json"
+STORED_REPORT = Path(__file__).parent / "data" / "day_report.json"
 
 
-def report(worth: float, price: float = 0.0, broken: int = 0) -> dict[str, object]:
+def make_report(worth: float, price: float = 0.0, broken: int = 0) -> dict[str, object]:
     return {
         "G": worth,
         "parts": [["whole day", 0.35, worth + 0.1]],
@@ -31,26 +31,26 @@
     }
 
 
-def keep(folder: Path, text: str, worths: dict[int, float]) -> None:
+def write_reports(folder: Path, text: str, worths: dict[int, float]) -> None:
     for seed, worth in worths.items():
         path = folder / "plays" / text / f"site.scale-1.{seed}.json"
         path.parent.mkdir(parents=True, exist_ok=True)
-        path.write_text(json.dumps(report(worth)), encoding="utf-8")
+        path.write_text(json.dumps(make_report(worth)), encoding="utf-8")
 
 
-def test_a_kept_report_is_read_with_parts_classes_and_prices() -> None:
-    found = read_report(KEPT)
-    assert found.worth == pytest.approx(0.5624)
-    assert found.figures["part: worst windows"] == pytest.approx(0.696)
-    assert found.figures["class: priority-burst-review"] == pytest.approx(0.448)
-    assert found.broken_rules == ()
-    names = compared_figures([found])
+def test_a_stored_report_is_read_with_parts_classes_and_prices() -> None:
+    result = read_report(STORED_REPORT)
+    assert result.worth == pytest.approx(0.5624)
+    assert result.figures["part: worst windows"] == pytest.approx(0.696)
+    assert result.figures["class: priority-burst-review"] == pytest.approx(0.448)
+    assert result.violated_rules == ()
+    names = compared_figures([result])
     assert "price: worth put behind what is less urgent" in names
     assert "price: cloud calls" not in names
 
 
 @pytest.mark.parametrize("document", [{}, {"G": 1}, {"G": 1, "parts": [1], "classes": [], "prices": []}])
-def test_what_is_no_report_is_a_clear_error(document: object, tmp_path: Path) -> None:
+def test_a_malformed_report_is_a_clear_error(document: object, tmp_path: Path) -> None:
     path = tmp_path / "x.json"
     path.write_text(json.dumps(document), encoding="utf-8")
     with pytest.raises(ValueError, match="not a report of a day"):
@@ -58,13 +58,13 @@
 
 
 def test_broken_rules_and_faults_are_named() -> None:
-    assert parse_report(report(0.5, broken=2)).broken_rules == ("ONE",)
-    assert parse_report({**report(0.5), "fault": "too slow"}).broken_rules == ("too slow",)
+    assert parse_report(make_report(0.5, broken=2)).violated_rules == ("ONE",)
+    assert parse_report({**make_report(0.5), "fault": "too slow"}).violated_rules == ("too slow",)
 
 
 def test_the_interval_of_equal_differences_is_their_value() -> None:
-    found = paired_difference([0.1, 0.2, 0.3, 0.4], [0.2, 0.3, 0.4, 0.5])
-    assert (found.pairs, found.mean, found.low, found.high) == pytest.approx((4, 0.1, 0.1, 0.1))
+    result = paired_difference([0.1, 0.2, 0.3, 0.4], [0.2, 0.3, 0.4, 0.5])
+    assert (result.pairs, result.mean, result.low, result.high) == pytest.approx((4, 0.1, 0.1, 0.1))
 
 
 def test_the_interval_is_the_same_each_time_and_holds_the_mean() -> None:
@@ -78,61 +78,63 @@
     assert one.verdict(larger_is_better=False) is Verdict.WORSE
 
 
-def test_few_pairs_or_an_interval_around_0_tell_nothing() -> None:
+def test_few_pairs_or_an_interval_around_0_give_no_verdict() -> None:
     assert PairedDifference(3, 0.1, 0.05, 0.2).verdict(True) is Verdict.NOT_TOLD_APART
     assert PairedDifference(9, 0.1, -0.01, 0.2).verdict(True) is Verdict.NOT_TOLD_APART
     with pytest.raises(ValueError, match="no pairs"):
         paired_difference([0.1], [])
 
 
-def test_one_sentence_says_better_worse_or_not_told_apart() -> None:
-    assert "new is better than old: +0.0500" in sentence("old", "new", PairedDifference(8, 0.05, 0.02, 0.08))
-    assert "new is worse than old" in sentence("old", "new", PairedDifference(8, -0.05, -0.08, -0.02))
-    assert "not told apart" in sentence("old", "new", PairedDifference(8, 0.0, -0.08, 0.02))
+def test_the_summary_is_better_worse_or_not_told_apart() -> None:
+    assert "new is better than old: +0.0500" in summary_sentence(
+        "old", "new", PairedDifference(8, 0.05, 0.02, 0.08)
+    )
+    assert "new is worse than old" in summary_sentence("old", "new", PairedDifference(8, -0.05, -0.08, -0.02))
+    assert "not told apart" in summary_sentence("old", "new", PairedDifference(8, 0.0, -0.08, 0.02))
 
 
-def test_plays_are_interleaved_and_taken_up_where_they_were_cut_off(tmp_path: Path) -> None:
+def test_plays_are_interleaved_and_resumed_after_an_interruption(tmp_path: Path) -> None:
     plays = interleaved(["a", "b"], [Path("site.toml")], ["scale-1", "quiet-1"], [1, 2])
     assert [play.text for play in plays[:4]] == ["a", "b", "a", "b"]
-    assert [play.occasion.seed for play in plays] == [1] * 4 + [2] * 4
-    keep(tmp_path, "a", {1: 0.5})
-    assert Play("a", Occasion("site", "scale-1", 1), Path("site.toml")) not in missing(plays, tmp_path)
-    assert len(missing(plays, tmp_path)) == 7
+    assert [play.scenario.seed for play in plays] == [1] * 4 + [2] * 4
+    write_reports(tmp_path, "a", {1: 0.5})
+    assert Play("a", Scenario("site", "scale-1", 1), Path("site.toml")) not in pending_plays(plays, tmp_path)
+    assert len(pending_plays(plays, tmp_path)) == 7
 
 
-def test_only_what_both_texts_played_is_compared(tmp_path: Path) -> None:
-    keep(tmp_path, "a", {1: 0.5, 2: 0.5, 3: 0.5, 4: 0.5, 5: 0.9})
-    keep(tmp_path, "b", {1: 0.6, 2: 0.58, 3: 0.62, 4: 0.61})
-    assert [occasion.seed for occasion in paired_occasions(tmp_path, "a", "b")] == [1, 2, 3, 4]
+def test_only_scenarios_that_both_texts_played_are_compared(tmp_path: Path) -> None:
+    write_reports(tmp_path, "a", {1: 0.5, 2: 0.5, 3: 0.5, 4: 0.5, 5: 0.9})
+    write_reports(tmp_path, "b", {1: 0.6, 2: 0.58, 3: 0.62, 4: 0.61})
+    assert [scenario.seed for scenario in paired_scenarios(tmp_path, "a", "b")] == [1, 2, 3, 4]
     lines = list(comparison_lines(load_pairs(tmp_path, "a", "b"), "a", "b"))
     assert lines[0].startswith("b is better than a: +0.1025")
     assert any(line.startswith("site scale-1, 4 pairs") for line in lines)
 
 
-def test_a_class_that_one_site_lacks_is_compared_where_it_is(tmp_path: Path) -> None:
+def test_a_class_is_compared_only_on_sites_that_have_it(tmp_path: Path) -> None:
     # Given a site with the class chat and another without it
     for text, worth in (("a", 0.5), ("b", 0.6)):
-        keep(tmp_path, text, {1: worth})
-        other = {**report(worth), "classes": [{"name": "draft", "worth": worth}]}
+        write_reports(tmp_path, text, {1: worth})
+        other = {**make_report(worth), "classes": [{"name": "draft", "worth": worth}]}
         path = tmp_path / "plays" / text / "other.scale-1.1.json"
         path.write_text(json.dumps(other), encoding="utf-8")
     lines = list(comparison_lines(load_pairs(tmp_path, "a", "b"), "a", "b"))
-    # Then each class counts the pairs that have it
+    # Then the figures of each class cover only the pairs that have it
     (chat,) = (line for line in lines[:12] if "class: chat" in line)
     assert "0.9000     0.9000" in chat and chat.endswith("(1 pairs)")
 
 
 def test_a_broken_rule_is_shown(tmp_path: Path) -> None:
-    keep(tmp_path, "a", {1: 0.5})
-    keep(tmp_path, "b", {1: 0.5})
+    write_reports(tmp_path, "a", {1: 0.5})
+    write_reports(tmp_path, "b", {1: 0.5})
     path = tmp_path / "plays" / "b" / "site.scale-1.1.json"
-    path.write_text(json.dumps(report(0.5, broken=1)), encoding="utf-8")
+    path.write_text(json.dumps(make_report(0.5, broken=1)), encoding="utf-8")
     lines = list(comparison_lines(load_pairs(tmp_path, "a", "b"), "a", "b"))
     assert "BROKEN: b on site.scale-1.1: ONE" in lines
 
 
 @pytest.mark.parametrize("argument", ["name", "=HEAD", "name=", "a/b=HEAD", "name=HEAD+/no/such/file"])
-def test_a_text_that_can_not_be_understood_is_a_clear_error(argument: str) -> None:
+def test_a_malformed_text_argument_is_a_clear_error(argument: str) -> None:
     with pytest.raises(ValueError, match=r"REVISION|there is no file"):
         parse_text(argument)
 
@@ -162,9 +164,9 @@
     policy = tmp_path / "policy.toml"
     policy.write_text("[selection]\nhomes = 0\n", encoding="utf-8")
     # When both are prepared
-    clone = prepare(parse_text("first=HEAD"), repo, tmp_path / "round")
-    work = prepare(parse_text(f"second=WORK+{policy}"), repo, tmp_path / "round")
-    # Then each has its own text, and the policy is named for both programs
+    clone = prepare_clone(parse_text("first=HEAD"), repo, tmp_path / "round")
+    work = prepare_clone(parse_text(f"second=WORK+{policy}"), repo, tmp_path / "round")
+    # Then each clone has its own source, and the deploy file passes the policy to both programs
     assert (clone / "arrowfold" / "text.py").read_text(encoding="utf-8") == "old = 1\n"
     assert (work / "arrowfold" / "text.py").read_text(encoding="utf-8") == "new = 1\n"
     assert POLICY_FILE not in (clone / "deploy" / "system.toml").read_text(encoding="utf-8")
@@ -172,8 +174,8 @@
     assert (work / POLICY_FILE).read_text(encoding="utf-8") == policy.read_text(encoding="utf-8")
 
 
-def test_plays_are_run_and_their_journal_collected_and_a_failed_one_is_named(tmp_path: Path) -> None:
-    # Given a stand-in for the bench that plays all days but one
+def test_plays_are_run_their_journal_is_collected_and_failed_plays_are_returned(tmp_path: Path) -> None:
+    # Given a substitute for the bench that fails on one day
     bench = tmp_path / "bench"
     bench.write_text(
         "#!/bin/sh\n"
@@ -187,10 +189,10 @@
     plays = interleaved(["a"], [Path("site.toml")], ["scale-1", "quiet-1"], [1, 2])
     options = PlayOptions(bench, jobs=2, small=False, no_cpu=True, least_free_gb=0.0, reason="test")
     # When they are played
-    failed = Player(tmp_path / "round", {"a": clone}, options).play_all(plays)
-    # Then the failed ones are named, the others kept, and the journal has an entry of each
-    assert [play.occasion.day for play in failed] == ["quiet-1", "quiet-1"]
-    assert len(missing(plays, tmp_path / "round")) == 2
+    failed = BenchRunner(tmp_path / "round", {"a": clone}, options).play_all(plays)
+    # Then the failed plays are returned, the others have a report, and each has a journal entry
+    assert [play.scenario.day for play in failed] == ["quiet-1", "quiet-1"]
+    assert len(pending_plays(plays, tmp_path / "round")) == 2
     assert collect_journal({"a": clone}, tmp_path / "journal") == 2
     assert collect_journal({"a": clone}, tmp_path / "journal") == 0
 
@@ -202,7 +204,7 @@
     assert "temporary folder" in capsys.readouterr().err
     monkeypatch.setattr("benchmarks.rounds.__main__.tempfile.gettempdir", lambda: "/nowhere")
     assert main(["compare", str(tmp_path), "a", "b"]) == 2
-    assert "no occasion" in capsys.readouterr().err
+    assert "no scenario" in capsys.readouterr().err
     words = ["play", str(tmp_path), "--bench=b", "--day=d", "--why=w", "--seeds=1,x"]
     assert main([*words, "--text=a=HEAD", "--site=s"]) == 2
     assert capsys.readouterr().err.count("\n") == 1
