--- a/benchmarks/control_model/actions.py
+++ b/benchmarks/control_model/actions.py
@@ -26,15 +26,15 @@
     """Limits of the explored state space, the losses to tolerate, and the planted fault (empty for none)."""
 
     losses: int = 1
-    most_epochs: int = 4
-    most_entries: int = 1
+    max_epochs: int = 4
+    max_entries: int = 1
     planted: str = ""
 
-    def copies(self, witnesses: int) -> int:
+    def copies_required(self, witnesses: int) -> int:
         """Models `membership.copies_required`."""
         return min(self.losses + 1, max(1, witnesses))
 
-    def voters(self) -> int:
+    def witnesses_required(self) -> int:
         """Models `membership.witnesses_required`."""
         return 2 * self.losses + 1
 
@@ -74,7 +74,7 @@
     if member.record is None or number not in member.record.witnesses:
         return
     epoch = max((known.promised for known in state.members), default=0) + 1
-    if epoch > bounds.most_epochs or member.lease not in (NO_MEMBER, number):
+    if epoch > bounds.max_epochs or member.lease not in (NO_MEMBER, number):
         return
     yield f"{number} stands for epoch {epoch}", _begin_attempt(state, number, epoch, None, bounds)
 
@@ -99,8 +99,8 @@
     """Models `GroupMember.prepare` at one more member, whose answer arrives or is lost."""
     attempt = state.attempts[candidate]
     assert attempt is not None
-    told = {answer[0] for answer in attempt.answers}
-    for number in sorted(_members_to_ask(state, candidate, attempt) - told):
+    answered = {answer[0] for answer in attempt.answers}
+    for number in sorted(_members_to_ask(state, candidate, attempt) - answered):
         member = state.members[number]
         if member.status != "up":
             continue
@@ -143,12 +143,15 @@
 
 
 def superseded_quorums(attempt: Attempt, bounds: Bounds) -> tuple[Members, ...] | None:
-    """Models `EpochChange._found`: the quorums to supersede, or None if a majority of one is missing."""
+    """Models `EpochChange._found`: the quorums to supersede, or None without a majority of each.
+
+    Older quorums count only while no answer confirms that the newest record was chosen.
+    """
     record = _newest(attempt)
     assert record is not None
     confirmed = any(
-        known and told is not None and told.epoch == record.epoch
-        for _, told, known, _, _ in attempt.answers
+        is_confirmed and answered is not None and answered.epoch == record.epoch
+        for _, answered, is_confirmed, _, _ in attempt.answers
     )
     quorums = record.quorums[-1:] if confirmed or bounds.planted == "old voters forgotten" else record.quorums
     votes = frozenset(answer[0] for answer in attempt.answers)
@@ -184,9 +187,9 @@
         if term is None or record.epoch != term.record.epoch:
             return
         group, witnesses = attempt.target_membership[0] & granted, attempt.target_membership[1]
-    copies = bounds.copies(len(witnesses)) if bounds.planted != "one copy is enough" else 1
+    copies_required = bounds.copies_required(len(witnesses)) if bounds.planted != "one copy is enough" else 1
     sources = _sources(attempt, record, bounds)
-    if candidate not in group or len(group) < copies or not sources:
+    if candidate not in group or len(group) < copies_required or not sources:
         return
     choose = min if bounds.planted == "state from anyone" else max
     start = choose(sources, key=lambda source: (source[1], source[0]))[1]
@@ -217,7 +220,7 @@
         return None
     if member.record == record:
         return state
-    promised_member = member._replace(
+    accepted_member = member._replace(
         promised=record.epoch,
         promised_to=record.primary,
         record=record,
@@ -225,7 +228,7 @@
         confirmed_on_disk=False,
         lease=record.primary,
     )
-    return _with_member(state, number, promised_member)
+    return _with_member(state, number, accepted_member)
 
 
 def append(
@@ -353,7 +356,10 @@
 
 
 def _after_lease_end(state: State, number: int) -> State:
-    """Ends the lease at the primary first: it counts from before the grants, which end then or later."""
+    """Ends the lease of a primary and the grants to it.
+
+    The primary counts its lease from before the heartbeat, so that the grants end with it or later.
+    """
     term = state.terms[number]
     assert term is not None
     after = _with_term(state, number, term._replace(active=False))
@@ -368,7 +374,7 @@
     member = state.members[number]
     epoch = term.record.epoch
     if term.appending is None:
-        if can_act(state, number) and len(member.log) < bounds.most_entries:
+        if can_act(state, number) and len(member.log) < bounds.max_entries:
             log = (*member.log, epoch)
             after = append(state, number, term.record, log, bounds)
             if after is not None:
@@ -388,10 +394,10 @@
                 f"the entry of epoch {epoch} to {other} is late",
                 state._replace(late=state.late | {late}, drops=state.drops - 1),
             )
-    enough = term.appending == term.record.group
+    is_replicated = term.appending == term.record.group
     if bounds.planted == "commit without backups":
-        enough = True
-    if enough and can_act(state, number):
+        is_replicated = True
+    if is_replicated and can_act(state, number):
         after = state._replace(committed=member.log)
         done = _with_term(after, number, term._replace(appending=None))
         yield f"{number} acknowledges the entry of epoch {epoch}", done
@@ -402,7 +408,7 @@
 
     Never removes more members than the required copies and witnesses allow.
     """
-    if state.attempts[number] is not None or term.record.epoch >= bounds.most_epochs:
+    if state.attempts[number] is not None or term.record.epoch >= bounds.max_epochs:
         return
     if not can_act(state, number):
         return
@@ -415,11 +421,11 @@
     lost = {other for other in voters if state.members[other].status in ("gone", "down")}
     leaving = {other for other in voters if state.members[other].leaving}
     epoch = max(member.promised for member in state.members) + 1
-    if epoch > bounds.most_epochs:
+    if epoch > bounds.max_epochs:
         return
     for target in _target_memberships(state, number, voters | newcomers, leaving, lost, bounds):
         group, witnesses = target
-        if len(group) < bounds.copies(len(witnesses)):
+        if len(group) < bounds.copies_required(len(witnesses)):
             continue
         if target == (term.record.group, term.record.witnesses) and term.appending is None:
             continue
@@ -432,20 +438,20 @@
     state: State, number: int, everyone: set[int], leaving: set[int], lost: set[int], bounds: Bounds
 ) -> set[tuple[Members, Members]]:
     """Returns each possible target group and witnesses: leaving or lost members are removed in any order."""
-    found: set[tuple[Members, Members]] = set()
+    targets: set[tuple[Members, Members]] = set()
     for leaving_order in permutations(sorted(leaving)):
         for lost_order in permutations(sorted(lost - leaving)):
             remaining = set(everyone)
             for other in (*leaving_order, *lost_order):
-                if len(remaining) > bounds.voters() and other != number:
+                if len(remaining) > bounds.witnesses_required() and other != number:
                     remaining.discard(other)
             group = {other for other in remaining if state.members[other].status == "up"}
             for other in leaving_order:
-                if other in group and len(group) > bounds.copies(len(remaining)):
+                if other in group and len(group) > bounds.copies_required(len(remaining)):
                     group.discard(other)
             if number in group:
-                found.add((frozenset(group), frozenset(remaining)))
-    return found
+                targets.add((frozenset(group), frozenset(remaining)))
+    return targets
 
 
 # Planned departures
@@ -460,7 +466,7 @@
         and state.members[other].confirmed_on_disk
         and not state.members[other].leaving
     ]
-    return len(confirmed_witnesses) >= bounds.copies(len(record.witnesses))
+    return len(confirmed_witnesses) >= bounds.copies_required(len(record.witnesses))
 
 
 def _depart(state: State, number: int, bounds: Bounds) -> Iterator[Step]:
@@ -471,20 +477,21 @@
     member = state.members[number]
     if not member.leaving:
         record = member.record
-        has_spare_witness = record is not None and len(record.witnesses) > bounds.voters()
+        has_spare_witness = record is not None and len(record.witnesses) > bounds.witnesses_required()
         can_stop = has_spare_witness and all(
             state.members[other].status == "up"
             for other in record.witnesses  # type: ignore[union-attr]
         )
         if state.leaves and can_stop and number in record.witnesses:  # type: ignore[union-attr]
-            told = _with_term(_with_attempt(state, number, None), number, None)
+            stopping = _with_term(_with_attempt(state, number, None), number, None)
             leases = tuple(
-                other._replace(lease=NO_MEMBER) if other.lease == number else other for other in told.members
+                other._replace(lease=NO_MEMBER) if other.lease == number else other
+                for other in stopping.members
             )
-            told = told._replace(members=leases, leaves=state.leaves - 1)
+            stopping = stopping._replace(members=leases, leaves=state.leaves - 1)
             yield (
                 f"{number} is told to end",
-                _with_member(told, number, told.members[number]._replace(leaving=True)),
+                _with_member(stopping, number, stopping.members[number]._replace(leaving=True)),
             )
         return
     gone = Member("gone", 0, NO_MEMBER, None, False, False, 0, (), NO_MEMBER, False)
@@ -525,14 +532,14 @@
         lease = record.primary if record is not None else NO_MEMBER
         if bounds.planted == "no lease after a restart":
             lease = NO_MEMBER
-        back = member._replace(status="up", lease=lease)
-        yield f"{number} starts again", _with_member(state, number, back)
+        restarted = member._replace(status="up", lease=lease)
+        yield f"{number} starts again", _with_member(state, number, restarted)
         if lease != NO_MEMBER and not _is_active(state, lease):
-            waited = member._replace(status="up", lease=NO_MEMBER)
-            yield f"{number} starts again and waits out a lease", _with_member(state, number, waited)
+            lease_expired = member._replace(status="up", lease=NO_MEMBER)
+            yield f"{number} starts again and waits out a lease", _with_member(state, number, lease_expired)
     if member.status == "up" and member.lease != NO_MEMBER and not _is_active(state, member.lease):
-        free = _with_member(state, number, member._replace(lease=NO_MEMBER))
-        yield f"the lease that {number} granted ends", free
+        without_lease = _with_member(state, number, member._replace(lease=NO_MEMBER))
+        yield f"the lease that {number} granted ends", without_lease
 
 
 def _is_active(state: State, number: int) -> bool:
--- a/benchmarks/control_model/checker.py
+++ b/benchmarks/control_model/checker.py
@@ -64,7 +64,7 @@
 def check(
     scenario: Scenario,
     bounds: Bounds,
-    most_states: int = 20_000_000,
+    max_states: int = 20_000_000,
     seconds: float = 600.0,
     use_symmetry: bool = True,
 ) -> Result:
@@ -103,7 +103,7 @@
                     elapsed_s = time.monotonic() - started
                     return Result(len(parents), depth + 1, elapsed_s, False, violated, trace)
                 next_frontier.append(after)
-            if len(parents) >= most_states or time.monotonic() - started > seconds:
+            if len(parents) >= max_states or time.monotonic() - started > seconds:
                 return Result(len(parents), depth + 1, time.monotonic() - started, False)
         frontier = next_frontier
         depth += bool(frontier)
--- a/benchmarks/control_model/playing.py
+++ b/benchmarks/control_model/playing.py
@@ -22,7 +22,7 @@
     """Visits the states of a scenario."""
     if requested.is_planted:
         scenario, epochs = PLANTED[requested.name]
-        bounds = Bounds(most_epochs=epochs, planted=requested.name)
+        bounds = Bounds(max_epochs=epochs, planted=requested.name)
     else:
         scenario, bounds = CLEAN[requested.name]
     return check(scenario, bounds, seconds=requested.seconds)
--- a/benchmarks/control_model/scenarios.py
+++ b/benchmarks/control_model/scenarios.py
@@ -10,34 +10,34 @@
 _LEAVING = Scenario(newcomer_joined=True, newcomers=2, crashes=0, wipes=1, leaves=1)
 
 CLEAN: dict[str, tuple[Scenario, Bounds]] = {
-    "3 / 1, a crash": (_NO_DISK_LOST, Bounds(most_epochs=3)),
-    "3 / 1, a lost disk": (Scenario(crashes=0), Bounds(most_epochs=3)),
-    "3 / 1, a crash and a lost disk": (_A_DISK_LOST, Bounds(most_epochs=2)),
-    "3 / 1, a crash, late messages": (Scenario(wipes=0, newcomers=0, drops=1), Bounds(most_epochs=2)),
-    "3 / 1, a fourth, one leaves": (_LEAVING, Bounds(most_epochs=2)),
+    "3 / 1, a crash": (_NO_DISK_LOST, Bounds(max_epochs=3)),
+    "3 / 1, a lost disk": (Scenario(crashes=0), Bounds(max_epochs=3)),
+    "3 / 1, a crash and a lost disk": (_A_DISK_LOST, Bounds(max_epochs=2)),
+    "3 / 1, a crash, late messages": (Scenario(wipes=0, newcomers=0, drops=1), Bounds(max_epochs=2)),
+    "3 / 1, a fourth, one leaves": (_LEAVING, Bounds(max_epochs=2)),
     "5 / 2, a crash": (
         Scenario(members=5, wipes=0, newcomers=0),
-        Bounds(losses=2, most_epochs=2, most_entries=0),
+        Bounds(losses=2, max_epochs=2, max_entries=0),
     ),
     "5 / 2, two lost disks": (
         Scenario(members=5, newcomers=2, crashes=0, wipes=2),
-        Bounds(losses=2, most_epochs=2, most_entries=0),
+        Bounds(losses=2, max_epochs=2, max_entries=0),
     ),
     "5 / 2, a crash and a lost disk": (
         Scenario(members=5, newcomers=1, crashes=1, wipes=1),
-        Bounds(losses=2, most_epochs=2, most_entries=0),
+        Bounds(losses=2, max_epochs=2, max_entries=0),
     ),
     "3 / 1, a fourth, one leaves, a crash": (
         Scenario(newcomer_joined=True, newcomers=1, crashes=1, wipes=0, leaves=1),
-        Bounds(most_epochs=2),
+        Bounds(max_epochs=2),
     ),
     "3 / 1, a fourth comes, one leaves": (
         Scenario(newcomers=1, crashes=0, wipes=0, leaves=1, arrivals=1),
-        Bounds(most_epochs=3, most_entries=0),
+        Bounds(max_epochs=3, max_entries=0),
     ),
     "3 / 1, two replacements one after the other": (
         Scenario(newcomers=2, crashes=0, wipes=0, leaves=2, arrivals=2),
-        Bounds(most_epochs=5, most_entries=0),
+        Bounds(max_epochs=5, max_entries=0),
     ),
 }
 
--- a/tests/system/test_control_model.py
+++ b/tests/system/test_control_model.py
@@ -22,7 +22,7 @@
 def test_given_three_members_and_one_failure_then_every_state_satisfies_the_invariants(
     scenario: Scenario,
 ) -> None:
-    result = check(scenario, Bounds(most_epochs=2))
+    result = check(scenario, Bounds(max_epochs=2))
     assert result.complete and result.violation is None, "\n".join(result.trace)
     assert result.states > 1_000
 
@@ -30,6 +30,6 @@
 @pytest.mark.parametrize("fault", PLANTED)
 def test_given_a_planted_fault_then_the_checker_finds_a_violation_with_its_trace(fault: str) -> None:
     scenario, epochs = PLANTED[fault]
-    result = check(scenario, Bounds(most_epochs=epochs, planted=fault), most_states=MAX_STATES)
+    result = check(scenario, Bounds(max_epochs=epochs, planted=fault), max_states=MAX_STATES)
     assert result.violation is not None
     assert result.trace
