--- a/benchmarks/control_figures.py
+++ b/benchmarks/control_figures.py
@@ -135,7 +135,7 @@
 
 
 def main() -> int:
-    """Run the command line."""
+    """Runs the command line and returns the exit code."""
     if docopt(__doc__)["write"]:
         PAGE.write_text(page_with_figures())
     else:
--- a/benchmarks/control_kills/__main__.py
+++ b/benchmarks/control_kills/__main__.py
@@ -25,7 +25,7 @@
 
 
 def main() -> int:
-    """Run the command line."""
+    """Runs the command line and returns the exit code."""
     options = docopt(__doc__)
     members, losses, faults, seed = (
         int(options[name]) for name in ("--members", "--losses", "--faults", "--seed")
--- a/benchmarks/control_model/__main__.py
+++ b/benchmarks/control_model/__main__.py
@@ -72,7 +72,7 @@
 
 
 def main() -> int:
-    """Run the command line."""
+    """Runs the command line and returns the exit code."""
     options = docopt(__doc__)
     if options["trace"]:
         row = _row(options["FAULT"], visit(Visit(options["FAULT"], True, float(options["--seconds"]))))
--- a/benchmarks/control_state/__main__.py
+++ b/benchmarks/control_state/__main__.py
@@ -160,7 +160,7 @@
 
 
 def main() -> int:
-    """Run the command line."""
+    """Runs the command line and returns the exit code."""
     options = docopt(__doc__)
     machines, losses, count = (int(options[name]) for name in ("--machines", "--losses", "--schedules"))
     if options["run"]:
--- a/benchmarks/guards/__main__.py
+++ b/benchmarks/guards/__main__.py
@@ -52,7 +52,7 @@
 
 
 def main() -> int:
-    """Run the command line."""
+    """Runs the command line and returns the exit code."""
     options = docopt(__doc__)
     if options["list"]:
         for guard in GUARDS:
