--- a/arrowfold/expectations/check.py
+++ b/arrowfold/expectations/check.py
@@ -12,7 +12,7 @@
 from arrowfold.expectations.plan_settings import action_path, list_settings
 from arrowfold.expectations.reports import Report
 from arrowfold.expectations.sampling import sample_subjects, sample_worlds
-from arrowfold.expectations.worlds import TARGETS, Plan, World, play
+from arrowfold.expectations.worlds import TARGETS, SystemUnderTest, World, play
 from arrowfold.routes.table import holds
 
 LAG_RESOLUTION_MS = 50  # resolution of the search for the least breaking lag
@@ -26,7 +26,7 @@
     `played` counts the simulated worlds.
     """
 
-    def __init__(self, plan: Plan, expectations: Sequence[Expectation], seed: int = 1) -> None:
+    def __init__(self, plan: SystemUnderTest, expectations: Sequence[Expectation], seed: int = 1) -> None:
         self.plan, self.expectations, self.seed = plan, expectations, seed
         self.regions = plan.routes.regions
         self.played = 0
@@ -91,13 +91,14 @@
         return sample_worlds(self.plan, self.expectations, self.seed)
 
     def _tallies(
-            self, world: World, plan: Plan, expectations: Sequence[Expectation]) -> list[Tally]:
+            self, world: World, plan: SystemUnderTest, expectations: Sequence[Expectation]) -> list[Tally]:
         self.played += 1
         return evaluate_all(play(world, plan), expectations, self.regions)
 
     # --- explanation -------------------------------------------------------------------------------------
 
-    def _find_violation(self, expectation: Expectation, world: World, plan: Plan) -> Finding | None:
+    def _find_violation(
+            self, expectation: Expectation, world: World, plan: SystemUnderTest) -> Finding | None:
         (tally,) = self._tallies(world, plan, [expectation])
         return tally.bad[0] if _is_broken(expectation, tally) else None
 
@@ -180,7 +181,7 @@
         """Adds the settings without which a vacuous expectation would apply."""
         matching = [w for w in worlds if holds(expectation.when.match, w.subject())][:VACUOUS_SAMPLE_SIZE]
 
-        def vacuous(plan: Plan) -> bool:
+        def vacuous(plan: SystemUnderTest) -> bool:
             return not any(self._tallies(world, plan, [expectation])[0].applied for world in matching)
 
         settings = [s for s in list_settings(self.plan) if s.path != expectation.path]
@@ -201,5 +202,5 @@
 
 
 def _is_broken(expectation: Expectation, tally: Tally) -> bool:
-    """Whether a world breaks an expectation: its share of good findings is below the required share."""
+    """Whether a simulated run violates an expectation: too small a share of the evaluations passed."""
     return bool(tally.bad) and tally.good / tally.applied < required_share(expectation.claim)
--- a/arrowfold/expectations/contradictions.py
+++ b/arrowfold/expectations/contradictions.py
@@ -6,19 +6,19 @@
 
 from arrowfold.expectations.claims import Answered, Denied, Prefers, Reaches
 from arrowfold.expectations.judgement import Expectation
-from arrowfold.expectations.worlds import Plan
+from arrowfold.expectations.worlds import SystemUnderTest
 from arrowfold.routes.rules import Subject
 from arrowfold.routes.table import holds
 
 
 def contradicts(
-        one: Expectation, two: Expectation, plan: Plan, subjects: Sequence[Subject]) -> bool:
+        one: Expectation, two: Expectation, plan: SystemUnderTest, subjects: Sequence[Subject]) -> bool:
     """Whether some request is subject to both expectations, and no outcome that satisfies both exists.
 
     Each expectation must be satisfiable on its own. Only claims that restrict the servers of a request, or
     that require its denial, are compared.
     """
-    if one.when.of_attempts or two.when.of_attempts:
+    if one.when.has_attempt_conditions or two.when.has_attempt_conditions:
         return False
     a, b = _outcomes(one, plan), _outcomes(two, plan)
     if a is None or b is None or not a or not b or a & b:
@@ -29,7 +29,7 @@
     return bool(of_one & of_two)
 
 
-def _outcomes(expectation: Expectation, plan: Plan) -> frozenset[object] | None:
+def _outcomes(expectation: Expectation, plan: SystemUnderTest) -> frozenset[object] | None:
     """Returns the permitted outcomes of a request: servers by zone and kind, or denial; None: not limited."""
     claim, regions = expectation.claim, plan.routes.regions
     everywhere: frozenset[object] = frozenset(plan.fleet)
--- a/arrowfold/expectations/judgement.py
+++ b/arrowfold/expectations/judgement.py
@@ -19,16 +19,17 @@
     match: Match = field(default_factory=Match)
     server: frozenset[State] = frozenset()  # the selected server is in all of these
     region: frozenset[State] = frozenset()  # every server of its zone is in all of these
-    lag_under: timedelta | None = None  # the list lags behind the server's own events by less
+    # The node's server list lags behind the server's own events by less than this; None: any lag.
+    lag_under: timedelta | None = None
 
     @property
-    def of_attempts(self) -> bool:
+    def has_attempt_conditions(self) -> bool:
         """Whether any condition on attempts is set."""
         return bool(self.server or self.region or self.lag_under is not None)
 
     def attempts(self, view: View, session: SessionRecord) -> list[Attempt]:
         """Returns the selected attempts of a session."""
-        if not self.of_attempts:
+        if not self.has_attempt_conditions:
             return session.attempts
         return [attempt for attempt in session.attempts if self._holds(view, attempt)]
 
@@ -74,7 +75,7 @@
         if not holds(when.match, session.subject):
             continue
         attempts = when.attempts(view, session)
-        if when.of_attempts and not attempts:
+        if when.has_attempt_conditions and not attempts:
             continue
         for finding in expectation.claim.evaluate(view, regions, session, attempts):
             if finding.ok:
--- a/arrowfold/expectations/plan_settings.py
+++ b/arrowfold/expectations/plan_settings.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from arrowfold import interface as api
-from arrowfold.expectations.worlds import Plan
+from arrowfold.expectations.worlds import SystemUnderTest
 from arrowfold.routes.rules import Routes, Rule
 
 
@@ -16,10 +16,10 @@
     """One setting: its path in the document, and a function that returns a plan without it."""
 
     path: str
-    without: Callable[[Plan], Plan]
+    without: Callable[[SystemUnderTest], SystemUnderTest]
 
 
-def list_settings(plan: Plan) -> list[Setting]:
+def list_settings(plan: SystemUnderTest) -> list[Setting]:
     """Returns all settings that may contribute to a verdict."""
     found = [Setting(action_path(rule), _without_rule(rule.name)) for rule in plan.routes.rules]
     if plan.quotas is not None:
@@ -54,16 +54,16 @@
     return f'routes > rule "{rule.name}" > {_action_name(rule)}'
 
 
-def _without_rule(name: str) -> Callable[[Plan], Plan]:
-    def without(plan: Plan) -> Plan:
+def _without_rule(name: str) -> Callable[[SystemUnderTest], SystemUnderTest]:
+    def without(plan: SystemUnderTest) -> SystemUnderTest:
         rules = tuple(rule for rule in plan.routes.rules if rule.name != name)
         return replace(plan, routes=Routes(plan.routes.regions, rules))
 
     return without
 
 
-def _without_organisation(name: str) -> Callable[[Plan], Plan]:
-    def without(plan: Plan) -> Plan:
+def _without_organisation(name: str) -> Callable[[SystemUnderTest], SystemUnderTest]:
+    def without(plan: SystemUnderTest) -> SystemUnderTest:
         assert plan.quotas is not None
         root = plan.quotas.root
         rest = {other: level for other, level in root.children.items() if other != name}
@@ -72,31 +72,31 @@
     return without
 
 
-def _without_quota_default(plan: Plan) -> Plan:
+def _without_quota_default(plan: SystemUnderTest) -> SystemUnderTest:
     assert plan.quotas is not None
     return replace(plan, quotas=replace(plan.quotas, root=replace(plan.quotas.root, default=None)))
 
 
-def _without_nobody(plan: Plan) -> Plan:
+def _without_nobody(plan: SystemUnderTest) -> SystemUnderTest:
     assert plan.quotas is not None
     return replace(plan, quotas=replace(plan.quotas, nobody=None))
 
 
-def _with(**changes: Any) -> Callable[[Plan], Plan]:
+def _with(**changes: Any) -> Callable[[SystemUnderTest], SystemUnderTest]:
     return lambda plan: replace(plan, settings=replace(plan.settings, **changes))
 
 
-def _with_class(name: str, **changes: Any) -> Callable[[Plan], Plan]:
-    def changed(plan: Plan) -> Plan:
+def _with_class(name: str, **changes: Any) -> Callable[[SystemUnderTest], SystemUnderTest]:
+    def changed(plan: SystemUnderTest) -> SystemUnderTest:
         classes = tuple(replace(c, **changes) if c.name == name else c for c in plan.settings.classes)
         return replace(plan, settings=replace(plan.settings, classes=classes))
 
     return changed
 
 
-def _without_kind(name: str) -> Callable[[Plan], Plan]:
+def _without_kind(name: str) -> Callable[[SystemUnderTest], SystemUnderTest]:
     return _with_class(name, kind=None)
 
 
-def _as_safe(name: str) -> Callable[[Plan], Plan]:
+def _as_safe(name: str) -> Callable[[SystemUnderTest], SystemUnderTest]:
     return _with_class(name, idempotency=api.Idempotency.SAFE)
--- a/arrowfold/expectations/sampling.py
+++ b/arrowfold/expectations/sampling.py
@@ -12,7 +12,7 @@
 
 from arrowfold import interface as api
 from arrowfold.expectations.judgement import Expectation
-from arrowfold.expectations.worlds import ENDINGS, EVENTS, LOADS, TARGETS, Plan, World
+from arrowfold.expectations.worlds import ENDINGS, EVENTS, LOADS, TARGETS, SystemUnderTest, World
 from arrowfold.networks import read_network
 from arrowfold.routes.rules import Match, Routes, Subject
 
@@ -26,7 +26,7 @@
 NO_REGION: list[str | None] = [None]
 
 
-def sample_worlds(plan: Plan, expectations: Sequence[Expectation], seed: int) -> list[World]:
+def sample_worlds(plan: SystemUnderTest, expectations: Sequence[Expectation], seed: int) -> list[World]:
     """Returns worlds that cover every pair of factor values, and selected triples.
 
     All combinations are returned if there are no more than MAX_EXHAUSTIVE. Equal seeds give equal worlds.
@@ -71,7 +71,7 @@
         yield subject, load, ending, "none", "one", 0, 0, 1, GAPS_MS[0]
 
 
-def sample_subjects(plan: Plan, expectations: Sequence[Expectation]) -> list[Subject]:
+def sample_subjects(plan: SystemUnderTest, expectations: Sequence[Expectation]) -> list[Subject]:
     """Returns subjects that the rules and expectations match, and for each class one without attributes."""
     classes = [cls.name for cls in plan.settings.classes]
     found = {Subject(name): None for name in classes}
--- a/arrowfold/expectations/world.py
+++ b/arrowfold/expectations/world.py
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class SystemUnderTest:
     """What is checked: the platform's settings, the routes, the fleet and the quotas."""
 
     settings: api.Settings
--- a/arrowfold/expectations/worlds.py
+++ b/arrowfold/expectations/worlds.py
@@ -16,12 +16,13 @@
 from arrowfold.expectations.memory_server import MS, SLOTS, SimulatedServer
 from arrowfold.expectations.recorder import DiscardingClient, Recorder
 from arrowfold.expectations.virtual_clock import START, Clock
-from arrowfold.expectations.world import ENDINGS, EVENTS, LOADS, TARGETS, Plan, TokenError, World
+from arrowfold.expectations.world import ENDINGS, EVENTS, LOADS, TARGETS, SystemUnderTest, TokenError, World
 from arrowfold.quotas.gate import Gate
 from arrowfold.routing.session import Job, to_us
 from arrowfold.routing.table import Row
 
-__all__ = ["ENDINGS", "EVENTS", "LOADS", "TARGETS", "Plan", "Simulation", "TokenError", "World", "play"]
+__all__ = [
+    "ENDINGS", "EVENTS", "LOADS", "TARGETS", "Simulation", "SystemUnderTest", "TokenError", "World", "play"]
 
 FIRST_ARRIVAL_DELAY = 100 * MS  # time from the first list to the first arrival
 TAIL_TIME = timedelta(seconds=1)  # simulated time after the last deadline
@@ -30,7 +31,7 @@
 class Simulation:
     """One simulation of a world."""
 
-    def __init__(self, world: World, plan: Plan) -> None:
+    def __init__(self, world: World, plan: SystemUnderTest) -> None:
         self.world, self.plan, self.clock = world, plan, Clock()
         self.random = random.Random(world.seed)
         self.history = History()
@@ -179,7 +180,7 @@
             server.is_silent = True
 
 
-def play(world: World, plan: Plan) -> History:
+def play(world: World, plan: SystemUnderTest) -> History:
     """Simulates a world and returns its history."""
     return Simulation(world, plan).play()
 
--- a/arrowfold/program/commands.py
+++ b/arrowfold/program/commands.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from arrowfold.expectations.reports import Report
-    from arrowfold.expectations.worlds import Plan
+    from arrowfold.expectations.worlds import SystemUnderTest
     from arrowfold.program.edge import EdgeDocument
 
 EXIT_FAULT = 2
@@ -223,11 +223,11 @@
         raise InputFault(f"configuration: {error}") from error
 
 
-def build_plan(document: EdgeDocument, settings: Path | None) -> Plan:
+def build_plan(document: EdgeDocument, settings: Path | None) -> SystemUnderTest:
     """Builds the check's plan: the settings from the option or the document, routes, fleet and quotas."""
     from arrowfold.expectations.claims import AtMostAt, Reaches
     from arrowfold.expectations.sampling import derive_fleet
-    from arrowfold.expectations.worlds import Plan
+    from arrowfold.expectations.worlds import SystemUnderTest
     from arrowfold.program.config import ConfigError, read_settings
 
     path = settings or document.check.settings
@@ -241,7 +241,7 @@
     targets = [e.claim.target for e in document.expectations if isinstance(e.claim, Reaches | AtMostAt)]
     kinds = {target.kind: None for target in targets if target.kind is not None}
     fleet = derive_fleet(platform_settings, document.routes, document.check.fleet or zones_and_kinds, kinds)
-    return Plan(platform_settings, document.routes, fleet, document.quotas)
+    return SystemUnderTest(platform_settings, document.routes, fleet, document.quotas)
 
 
 def _print_reports(reports: list[Report], as_json: bool, totals: dict[str, Any]) -> None:
