--- a/arrowfold/routes/table.py
+++ b/arrowfold/routes/table.py
@@ -45,11 +45,11 @@
         self.routes, rules = routes, routes.rules
         self.reaches = [rule.action.reach(routes.regions) for rule in rules]
         self._all = (1 << len(rules)) - 1
-        self._classes = _Part(rules, lambda match: match.classes)
-        self._regions = _Part(rules, lambda match: match.regions)
-        self._tenants = _Part(rules, lambda match: match.tenants)
-        self._keys = _KeyPart(rules)
-        self._networks = _NetworkPart(rules)
+        self._classes = _EqualityCriterion(rules, lambda match: match.classes)
+        self._regions = _EqualityCriterion(rules, lambda match: match.regions)
+        self._tenants = _EqualityCriterion(rules, lambda match: match.tenants)
+        self._keys = _KeyCriterion(rules)
+        self._networks = _NetworkCriterion(rules)
         self._rules_if_first = sum(1 << n for n, rule in enumerate(rules) if rule.match.retry is not True)
         self._rules_if_resent = sum(1 << n for n, rule in enumerate(rules) if rule.match.retry is not False)
 
@@ -69,8 +69,8 @@
         return self.routes.rules[number], self.reaches[number]
 
 
-class _Part:
-    """The rules accepted by a part that is compared for equality. `any`: rules without this part."""
+class _EqualityCriterion:
+    """The rules accepted by a criterion compared for equality. `any`: rules that do not restrict it."""
 
     def __init__(self, rules: Sequence[Rule], values: Callable[[Match], Iterable[str]]) -> None:
         self.any, self.by_value = _rules_by_value(rules, values)
@@ -83,7 +83,7 @@
 def _rules_by_value(
         rules: Sequence[Rule], values: Callable[[Match], Iterable[str]],
 ) -> tuple[int, dict[str, int]]:
-    """Returns the bit sets of the rules without values for a part, and by value of the others."""
+    """Returns, as bit sets, the rules that do not restrict a criterion, and those that accept each value."""
     unrestricted, by_value = 0, dict[str, int]()
     for number, rule in enumerate(rules):
         values_of_rule = list(values(rule.match))
@@ -94,7 +94,7 @@
     return unrestricted, by_value
 
 
-class _KeyPart:
+class _KeyCriterion:
     """The rules accepted by a key, either by the complete key or by a prefix of it."""
 
     def __init__(self, rules: Sequence[Rule]) -> None:
@@ -115,7 +115,7 @@
         return found
 
 
-class _NetworkPart:
+class _NetworkCriterion:
     """The rules accepted by an IPv4 or IPv6 address, by one longest-prefix match."""
 
     def __init__(self, rules: Sequence[Rule]) -> None:
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -24,7 +24,7 @@
 from arrowfold.program.commands import build_plan
 from arrowfold.program.edge import EdgeDocument, read_edge
 from arrowfold.routes.rules import Action
-from arrowfold.routes.table import RouteTable, _KeyPart, _NetworkPart, _Part
+from arrowfold.routes.table import RouteTable, _EqualityCriterion, _KeyCriterion, _NetworkCriterion
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import Answer
 from arrowfold.routing.table import ServerTable
@@ -173,14 +173,14 @@
     return int(self.any)
 
 
-def _matching_everything(self: _Part, value: str | None) -> int:
+def _matching_everything(self: _EqualityCriterion, value: str | None) -> int:
     every = self.any
     for mask in self.by_value.values():
         every |= mask
     return every
 
 
-def _without_ipv6(self: _NetworkPart, client: str | None) -> int:
+def _without_ipv6(self: _NetworkCriterion, client: str | None) -> int:
     return self.any if client is None or ":" in client else int(self.trees[4].get(client, self.any))
 
 
@@ -283,14 +283,15 @@
           "cardiff's retried lookups stay cardiff's"),
     Fault("retries taken for first tries", ((RouteTable, "find", _with_resent_inverted),),
           "retried lookups prefer the east"),
-    Fault("regions and tenants never match", ((_Part, "of", _matching_nothing),),
+    Fault("regions and tenants never match", ((_EqualityCriterion, "of", _matching_nothing),),
           "the enterprise searches on gen-a"),
-    Fault("every region, class and tenant matches", ((_Part, "of", _matching_everything),),
+    Fault("every region, class and tenant matches", ((_EqualityCriterion, "of", _matching_everything),),
           "archives are read in bridgend alone"),
-    Fault("keys never match", ((_KeyPart, "of", _matching_nothing),), "archives are read in bridgend alone"),
-    Fault("networks never match", ((_NetworkPart, "of", _matching_nothing),),
+    Fault("keys never match", ((_KeyCriterion, "of", _matching_nothing),),
+          "archives are read in bridgend alone"),
+    Fault("networks never match", ((_NetworkCriterion, "of", _matching_nothing),),
           "the documentation networks are denied, and told when to come back"),
-    Fault("IPv6 never matches", ((_NetworkPart, "of", _without_ipv6),),
+    Fault("IPv6 never matches", ((_NetworkCriterion, "of", _without_ipv6),),
           "IPv6 documentation networks are denied too"),
     Fault("no way on from the preferred region", ((Dispatcher, "_on_full", _first_tier_only),),
           "cardiff's searches are served elsewhere when cardiff has no room"),
