--- a/arrowfold/__main__.py
+++ b/arrowfold/__main__.py
@@ -9,7 +9,7 @@
 
 def main(arguments: list[str]) -> int:
     """Runs a node if there are no arguments, else the command line. Returns the exit code."""
-    # Handles signals before the slower imports: one that arrives during the start is kept for the event loop.
+    # Install the handlers before the slow imports, so that a signal received during startup is queued.
     signals = Signals() if not arguments or arguments[0] == "run" else None
     if not arguments:
         from arrowfold.program.start import run_node
--- a/arrowfold/dataplane/placement_overlay.py
+++ b/arrowfold/dataplane/placement_overlay.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 
-from arrowfold.dataplane.tables import PlacementTable
+from arrowfold.dataplane.tables import CorrectionTable
 from arrowfold.internal.messages import ArrivingModel, WorkerCorrection, WorkerRecord
 
 UPDATE_VALID_S = 3.0  # the owner renews its corrections each second; heartbeats arrive more often than this
@@ -28,12 +28,12 @@
     """
 
     def __init__(self) -> None:
-        self._tables: dict[str, tuple[PlacementTable, float]] = {}  # by service, with the time of receipt
+        self._tables: dict[str, tuple[CorrectionTable, float]] = {}  # by service, with the time of receipt
         self._first_seen: dict[str, tuple[WorkerCorrection, float]] = {}  # by instance, as above
         self._corrected: dict[str, _CorrectedRecord] = {}
 
     def corrected(
-        self, workers: Iterable[WorkerRecord], tables: Mapping[str, PlacementTable], now_s: float
+        self, workers: Iterable[WorkerRecord], tables: Mapping[str, CorrectionTable], now_s: float
     ) -> tuple[WorkerRecord, ...]:
         """Returns the records, in order, with all valid corrections applied."""
         corrections = self._valid_corrections(tables, now_s)
@@ -71,7 +71,7 @@
         return known.result
 
     def _valid_corrections(
-        self, tables: Mapping[str, PlacementTable], now_s: float
+        self, tables: Mapping[str, CorrectionTable], now_s: float
     ) -> dict[str, WorkerCorrection]:
         corrections: dict[str, WorkerCorrection] = {}
         for service, table in tables.items():
--- a/arrowfold/dataplane/retry_budget.py
+++ b/arrowfold/dataplane/retry_budget.py
@@ -5,10 +5,11 @@
 before W, whichever contains the most.
 
 Each edge limits its repeats in any window to LOCAL_RATIO_FACTOR x `ratio` x its own requests of that window,
-plus LOCAL_EXTRA_FACTOR x `extra` / edges. Windows of different edges that end within W begin at most one
-window before W, so their requests are at most those of W and of the window before it: twice the larger of the
-two. With LOCAL_RATIO_FACTOR = 1/2 the sum over all edges stays within the fleet's budget. A process spends
-nothing of `extra` in its first window, so that a restart does not spend the share of the same machine twice.
+plus LOCAL_EXTRA_FACTOR x `extra` / edges. The windows of different edges that end within W begin at most one
+window before W. So the requests counted in them are at most those of W and of the window before it, which is
+at most twice the larger of the two. With LOCAL_RATIO_FACTOR = 1/2 the sum over all edges therefore stays
+within the fleet's budget for W. A process spends nothing of `extra` in its first window, so that a restart
+does not spend the share of the same machine twice.
 The number of edges is the largest that was reported in the last window.
 """
 
--- a/arrowfold/dataplane/stalled_exchanges.py
+++ b/arrowfold/dataplane/stalled_exchanges.py
@@ -17,7 +17,8 @@
 CHECK_INTERVAL_S = 0.2
 UNRESPONSIVE_AFTER_S = 0.6  # without a byte from an instance with requests, until it is probed
 STALL_TIMEOUT_S = 1.2  # without a byte on a connection, in addition to the time to read the prompt
-# Since the answer began to a request that was sent later, with the same or a less urgent priority.
+# Time after which an exchange counts as stalled, once a later request of the same or lower urgency has begun
+# to be answered.
 OVERTAKEN_AFTER_S = 0.5
 PROBE_TIMEOUT_S = 0.35  # to connect to an instance
 REPROBE_DELAY_S = 1.0  # until a responsive instance is checked again
--- a/arrowfold/dataplane/tables.py
+++ b/arrowfold/dataplane/tables.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementTable:
+class CorrectionTable:
     """The corrections in force of one service, by instance, after update `counter` of `origin`."""
 
     origin: str
@@ -60,7 +60,7 @@
     configuration: ConfigurationSnapshot | None = None
     workers: dict[str, WorkerRecord] = field(default_factory=dict)
     view: ClusterView | None = None
-    placements: dict[str, PlacementTable] = field(default_factory=dict)  # by service
+    placements: dict[str, CorrectionTable] = field(default_factory=dict)  # by service
 
     def can_send_to(self, instance: str) -> bool:
         """Returns whether new requests may be sent to this worker."""
@@ -161,7 +161,7 @@
             )
 
 
-def _with_placement(known: dict[str, PlacementTable], update: PlacementUpdate) -> dict[str, PlacementTable]:
+def _with_placement(known: dict[str, CorrectionTable], update: PlacementUpdate) -> dict[str, CorrectionTable]:
     held = known.get(update.service)
     if held is not None and held.token > update.token:
         return known
@@ -173,7 +173,7 @@
         **{instance: item for instance, item in kept.items() if instance not in update.withdrawn},
         **{item.instance: item for item in update.corrections},
     }
-    table = PlacementTable(update.origin, update.token, update.counter, corrections)
+    table = CorrectionTable(update.origin, update.token, update.counter, corrections)
     return {**known, update.service: table}
 
 
--- a/arrowfold/membership/part.py
+++ b/arrowfold/membership/part.py
@@ -20,7 +20,8 @@
 from arrowfold import interface as api
 
 TARGET_SIZE = 512  # approximate maximum number of workers in a subset
-MIN_SIDE_SIZE = 256  # always allowed for the own zone, and for all others, however large the other side is
+# Always allowed for the own zone, and for all others together, however large the other of the two is.
+MIN_LOCAL_OR_REMOTE_SIZE = 256
 MIN_GROUP_SIZE = 4  # minimum workers per zone and kind, since a class or a route may be bound to one of these
 MERGE_RATIO = 0.8  # slices are merged when the merged slice holds at most this fraction of the limit
 HASH_BITS = 16  # maximum number of splits
@@ -57,7 +58,11 @@
     def __init__(
         self, zone: str, number: int, is_always_member: Callable[[str], bool] = lambda name: False
     ) -> None:
-        """`is_always_member` selects workers that are always in the subset: no other node may know them."""
+        """Starts with an empty list.
+
+        `is_always_member` selects workers that are always in the subset, because possibly no other node
+        knows them.
+        """
         self.zone, self.number = zone, number
         self.is_always_member = is_always_member
         self.entries: dict[str, api.RosterEntry] = {}  # the whole list except terminated workers
@@ -126,10 +131,10 @@
         own_count = sum(len(names) for (zone, _), names in self.groups.items() if zone == self.zone)
         other_count = len(self.entries) - own_count
         self.own_zone_splits = split_count(
-            own_count, max(MIN_SIDE_SIZE, TARGET_SIZE - other_count), self.own_zone_splits
+            own_count, max(MIN_LOCAL_OR_REMOTE_SIZE, TARGET_SIZE - other_count), self.own_zone_splits
         )
         self.other_zone_splits = split_count(
-            other_count, max(MIN_SIDE_SIZE, TARGET_SIZE - own_count), self.other_zone_splits
+            other_count, max(MIN_LOCAL_OR_REMOTE_SIZE, TARGET_SIZE - own_count), self.other_zone_splits
         )
         changed = []
         for group, names in self.groups.items():
--- a/arrowfold/repeats/rules.py
+++ b/arrowfold/repeats/rules.py
@@ -18,6 +18,6 @@
     max_answer_bytes: int = 65_536  # of a larger answer, only that it was served is remembered
     false_positives: float = 1e-6  # rate of a filter filled to its capacity
 
-    def keeps(self, request_class: str) -> timedelta:
+    def retention(self, request_class: str) -> timedelta:
         """Returns how long runs of a class are remembered; zero: not at all."""
         return self.keep.get(request_class, ZERO)
--- a/arrowfold/repeats/store.py
+++ b/arrowfold/repeats/store.py
@@ -106,11 +106,11 @@
         self.entries: dict[bytes, Entry] = {}
         self.used_bytes = 0  # bytes used by entries and answers
         self.counters: Counter[str] = Counter() if counters is None else counters
-        kept = [name for name in classes if repeats.keeps(name)]
+        kept = [name for name in classes if repeats.retention(name)]
         part = repeats.memory * FILTERS_MEMORY_SHARE / max(1, 2 * len(kept))
         capacity = max(64, int(part * 8 * LN2 * LN2 / -log(repeats.false_positives)))
         self.max_bytes = int(repeats.memory * (1 - FILTERS_MEMORY_SHARE)) if kept else repeats.memory
-        self.histories = {name: ClassHistory(repeats.keeps(name), capacity, repeats.false_positives, now)
+        self.histories = {name: ClassHistory(repeats.retention(name), capacity, repeats.false_positives, now)
                         for name in kept}
 
     def digest(self, *parts: str | bytes | None) -> bytes:
--- a/arrowfold/replication/epochs.py
+++ b/arrowfold/replication/epochs.py
@@ -126,7 +126,7 @@
         self._open_calls: set[asyncio.Task[Verdict | None]] = set()
 
     async def run(
-        self, epoch: int, compose: Compose, newcomers: Iterable[MemberInfo] = (), trial: bool = False
+        self, epoch: int, compose: Compose, new_witnesses: Iterable[MemberInfo] = (), trial: bool = False
     ) -> Result[EpochRecord, EpochFault]:
         """Returns the record of the new epoch once it is chosen.
 
@@ -134,7 +134,7 @@
         """
         prepare_round = _PrepareRound()
         try:
-            result = await self._attempt(epoch, compose, tuple(newcomers), trial, prepare_round)
+            result = await self._attempt(epoch, compose, tuple(new_witnesses), trial, prepare_round)
         finally:
             for task in prepare_round.calls.values():
                 task.cancel()
@@ -146,11 +146,11 @@
         self,
         epoch: int,
         compose: Compose,
-        newcomers: tuple[MemberInfo, ...],
+        new_witnesses: tuple[MemberInfo, ...],
         trial: bool,
         prepare_round: _PrepareRound,
     ) -> Result[EpochRecord, EpochFault]:
-        prepared = await self._collect_promises(epoch, prepare_round, newcomers, trial)
+        prepared = await self._collect_promises(epoch, prepare_round, new_witnesses, trial)
         if isinstance(prepared, Err):
             return Err(prepared.err_value)
         promises = prepared.ok_value
@@ -169,7 +169,10 @@
         witnesses: tuple[MemberInfo, ...],
         promises: Promises,
     ) -> EpochRecord:
-        """The record of the new epoch; its quorums are those to be superseded, and its own witnesses."""
+        """Returns the record of the new epoch.
+
+        Its quorums are the earlier ones that it must also win, plus the quorum of its own witnesses.
+        """
         witness_quorum = Quorum(tuple(witness.member for witness in witnesses))
         merged = merged_quorums(promises.quorums, witness_quorum)
         former = _former_voters(promises.record, merged, witness_quorum)
@@ -178,7 +181,7 @@
     # Promises
 
     async def _collect_promises(
-        self, epoch: int, prepare_round: _PrepareRound, newcomers: tuple[MemberInfo, ...], trial: bool
+        self, epoch: int, prepare_round: _PrepareRound, new_witnesses: tuple[MemberInfo, ...], trial: bool
     ) -> Result[Promises, EpochFault]:
         """Ask for promises until there are enough and the grace period is over, or all calls have ended.
 
@@ -186,7 +189,7 @@
         """
         request = PrepareEpoch(epoch, self._member.info, trial)
         self._send_prepares(prepare_round, request, [self._member.info.address, *self._known_addresses()])
-        self._send_prepares(prepare_round, request, [newcomer.address for newcomer in newcomers])
+        self._send_prepares(prepare_round, request, [witness.address for witness in new_witnesses])
         self._send_prepares(prepare_round, request, self._leaving_members.addresses())
         quorum_at: float | None = None
         while True:
--- a/arrowfold/replication/primary.py
+++ b/arrowfold/replication/primary.py
@@ -384,10 +384,10 @@
                 return Err(EpochFault("too few members promised"))
             return Ok(Composition(group, target.witnesses, copies))
 
-        newcomers = [witness for witness in target.witnesses if self.record.find(witness.member) is None]
+        new_witnesses = [witness for witness in target.witnesses if self.record.find(witness.member) is None]
         for _ in range(CHANGE_ATTEMPTS):
             epoch = max(self._member.highest_epoch, self._higher_promise) + 1
-            result = await self._change.run(epoch, compose, newcomers, trial)
+            result = await self._change.run(epoch, compose, new_witnesses, trial)
             if isinstance(result, Ok):
                 if not trial:
                     self._adopt(result.ok_value)
--- a/arrowfold/standins/producers.py
+++ b/arrowfold/standins/producers.py
@@ -31,7 +31,7 @@
         self.hello_reply = self.call("HELLO", fields)
 
     def call(self, command: str, argument: object = None) -> Any:
-        """Send a command; returns its reply as `reply` does."""
+        """Sends a command and returns its parsed reply."""
         text = argument if isinstance(argument, str) else json.dumps(argument) if argument is not None else ""
         self.sock.sendall(f"{command} {text}".strip().encode() + b"\r\n")
         return self.reply()
--- a/arrowfold/standins/servers.py
+++ b/arrowfold/standins/servers.py
@@ -24,7 +24,7 @@
 
 
 class QuietHandler(BaseHTTPRequestHandler):
-    """A request handler that logs nothing and writes chunked bodies, one JSON value a chunk."""
+    """A request handler that logs nothing and writes chunked bodies, one JSON value per chunk."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,7 @@
 from arrowfold.membership.part import (
     MERGE_RATIO,
     MIN_GROUP_SIZE,
-    MIN_SIDE_SIZE,
+    MIN_LOCAL_OR_REMOTE_SIZE,
     TARGET_SIZE,
     WorkerSubset,
     name_hash,
@@ -75,7 +75,7 @@
             self.assertEqual(len(groups), 19 * 2)
             self.assertGreaterEqual(min(groups.values()), MIN_GROUP_SIZE - 3)
             own = sum(entry.zone == "z3" for entry in worker_entries(count))
-            if own <= MIN_SIDE_SIZE:
+            if own <= MIN_LOCAL_OR_REMOTE_SIZE:
                 self.assertEqual(sum(entry.zone == "z3" for entry in result), own)
 
     def test_workers_are_spread_evenly_over_the_nodes(self) -> None:
