--- a/arrowfold/expectations/memory_server.py
+++ b/arrowfold/expectations/memory_server.py
@@ -91,10 +91,10 @@
 
         self.context.clock.call_later(2 * WIRE_DELAY, answer)
 
-    def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
+    def cancel(self, operation: Dispatch | Probe) -> api.Status | None:
         """Stops an attempt or a probe."""
-        if errand in self.running:
-            self.running.remove(errand)  # type: ignore[arg-type]
+        if operation in self.running:
+            self.running.remove(operation)  # type: ignore[arg-type]
         return None  # the whole attempt has reached the server and may have run
 
     def rest(self) -> None:
--- a/arrowfold/program/node.py
+++ b/arrowfold/program/node.py
@@ -25,7 +25,7 @@
 from arrowfold.routes.rules import Router
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import to_us
-from arrowfold.transport.budget import Budget
+from arrowfold.transport.budget import ConnectionBudget
 from arrowfold.transport.loop import Loop, Steps
 from arrowfold.transport.pool import Pools
 from arrowfold.transport.stream import Address
@@ -65,7 +65,7 @@
         self.handover = request_handover(path)
         self.succession = Succession(
             self.loop, path, self._export_state, self._apply_command, self._on_links_changed, self.log)
-        self.budget = budget = Budget(config.sockets - RESERVED_DESCRIPTORS)
+        self.budget = budget = ConnectionBudget(config.sockets - RESERVED_DESCRIPTORS)
         self.pools = Pools(budget)
         settings = config.settings
         self.trace: TraceFile | None = None
@@ -222,7 +222,7 @@
         """Applies a charge of the other process: it has admitted a request or settled it."""
         if self.core.quotas is not None:
             try:
-                self.core.quotas.ledger.follow(row, to_us(self.loop.now()))
+                self.core.quotas.ledger.apply_replicated_charge(row, to_us(self.loop.now()))
             except ValueError as error:
                 self.log("succession_bad_charge", error=str(error))
 
@@ -313,7 +313,7 @@
                 # SIGKILL may follow the initial or the current settings, so the shorter deadline counts.
                 longest_deadline = min(self.config.longest_deadline, self.running_config.longest_deadline)
                 earliest_end, close_delay, stop = shutdown_times(longest_deadline)
-                self.log("asked_to_end", owed=self.core.owed)
+                self.log("asked_to_end", owed=self.core.unanswered_count)
                 self.counters["terminations"] += 1
                 self.stop_at = self.loop.now() + stop
                 self.front.drain()
@@ -367,7 +367,7 @@
         if tree is None or self.core.quotas is None:
             self._open_quotas(updated)
         else:
-            self.core.quotas.change(tree, updated.settings.fleet_size)
+            self.core.quotas.replace_tree(tree, updated.settings.fleet_size)
 
     def _begin_closing_clients(self) -> None:
         """Begins to close clients' connections and answers Faktory heartbeats with the quiet state."""
@@ -381,7 +381,7 @@
         assert self.stop_at is not None
         now = self.loop.now()
         # Until a starting successor serves, only this process can serve new clients.
-        is_idle = not self.core.owed and not self.succession.has_starting_successor \
+        is_idle = not self.core.unanswered_count and not self.succession.has_starting_successor \
             and not self.front.busy(IDLE_FRONT_TIME)
         is_idle = is_idle and not (self.faktory and self.faktory.has_unwritten_answers())
         if is_idle and not self.front.leaving:
--- a/arrowfold/program/quota_commands.py
+++ b/arrowfold/program/quota_commands.py
@@ -38,7 +38,7 @@
 
 
 def _format_level(gate: Gate, path: tuple[str, ...], level: Level) -> Iterator[str]:
-    limits = [f"{limit.as_text()} (here {gate.ledger.part(limit) / UNIT[limit.resource]:g})"
+    limits = [f"{limit.as_text()} (here {gate.ledger.node_share(limit) / UNIT[limit.resource]:g})"
               for limit in level.limits]
     extra = [f"borrows with weight {level.weight:g}"] if level.borrow else []
     extra += [f"classes {', '.join(sorted(level.classes))}"] if level.classes else []
--- a/arrowfold/protocol/admin.py
+++ b/arrowfold/protocol/admin.py
@@ -61,7 +61,7 @@
         self.callers[stream] = self.loop.spawn(self._serve(stream), "admin call", urgent=True)
 
     def _close_oldest(self) -> bool:
-        """Close the oldest connection without a complete line. Guards operators against idle callers."""
+        """Close the oldest connection without a complete line, so that idle callers don't exclude others."""
         for stream, task in list(self.callers.items())[:1]:
             self.counters["admin_closed_for_room"] += 1
             task.stop()
@@ -102,7 +102,7 @@
     def _read_line(self, stream: Stream) -> Steps[bytes]:
         """Read the line; Refused if its end is not received in time.
 
-        Guards against a truncated call: a truncated id may be another worker's.
+        Prevents applying a truncated call: a truncated id may be another worker's.
         """
         until, buffered = self.loop.now() + LINE_TIMEOUT, bytearray()
         while b"\n" not in buffered[:MAX_LINE_BYTES + 1]:
--- a/arrowfold/protocol/discovery.py
+++ b/arrowfold/protocol/discovery.py
@@ -112,7 +112,7 @@
         self.revision: int | None = None
         self.entries: dict[str, Any] = {}  # each worker's entry as last received
         self.workers: dict[str, tuple[Address, int, SearchWorker]] = {}  # address, launch time in µs, worker
-        # Workers listed as draining or deleted: their launch time in µs and the version that listed them so.
+        # Workers listed as draining or deleted: their launch time in µs and the last list version with it.
         self.draining: dict[str, tuple[int, int]] = {}
         self.refused_count = 0  # implausible lists since the last plausible message
         self.refused_list: dict[str, Any] = {}  # the last of them
@@ -127,9 +127,9 @@
     def begin(self, limit: timedelta = FIRST_LIST_TIMEOUT, at_once: bool = False) -> None:
         """Start in a new process: hold requests until a list arrives; after `limit`, serve the known one.
 
-        Guards rule 3: what discovery has had for some seconds counts as known from the process's start. The
-        first calls of a fleet that starts at once are spread over a time that grows with its size, unless
-        `at_once`.
+        Needed for rule 3 (no new work for a worker that drains or has been removed): what discovery has had
+        for some seconds counts as known from the process's start. The first calls of a fleet that starts at
+        once are spread over a time that grows with its size, unless `at_once`.
         """
         if self.address is None:
             return  # a node with a fixed list
@@ -215,10 +215,11 @@
     def _check_plausible(self, message: dict[str, Any], is_complete: bool) -> None:
         """Raises ImplausibleList for a list that a faulty discovery service may have sent.
 
-        Guards the worker table against a lagging replica (an older version), and against a list emptied by a
-        fault: the node keeps its last list and calls again at once. A list repeated often enough is accepted,
+        Prevents a lagging replica (an older version), or a list emptied by a fault, from replacing the worker
+        table: the node keeps its last list and calls again at once. A list repeated often enough is accepted,
         since the service's versions may have restarted. The last refused list is applied in any case before
-        the time to obey it is over, since what the service has sent counts as known (rule 3).
+        the time to obey it is over, since what the service has sent counts as known (rule 3: no new work for
+        a worker that drains or has been removed).
         """
         revision, why = message.get("rev"), ""
         if is_complete and self.workers \
@@ -250,7 +251,10 @@
             self.refusal_timer = None
 
     def _apply_drains(self, message: dict[str, Any]) -> None:
-        """Guards rule 3 while a list is refused: its content counts as known, so its drains apply at once."""
+        """Apply the drains of a refused list at once.
+
+        Its content counts as known, so these workers get no new work (rule 3).
+        """
         rows = []
         for target in message["targets"]:
             state = target.get("state") if isinstance(target, dict) else None
@@ -300,7 +304,7 @@
         return self._keep_draining(entry, revision), known[2]
 
     def _keep_draining(self, entry: api.RosterEntry, revision: object) -> api.RosterEntry:
-        """Guards rule 3 against a lagging replica: an older version does not undo a drain.
+        """Prevents an older version, of a lagging replica, from undoing a drain (rule 3: no new work for it).
 
         A draining worker is in service again only by a later version than the one that drained it, or after a
         restart.
@@ -424,9 +428,9 @@
     def _follow_watch(self, exchange: ClientSide, first_deadline: timedelta) -> Steps[None]:
         """Apply a watch's messages until it ends; WatchTimeout if no message or keep-alive arrives in time.
 
-        Guards against a watch that stalls within a line or trickles bytes that complete none: the time of the
-        last complete message counts, not that of the last byte. The first message may be long, and has until
-        `first_deadline`.
+        The time of the last complete message counts, not that of the last byte. This prevents waiting for a
+        watch that stalls within a line or trickles bytes that complete none. The first message may be long,
+        and has until `first_deadline`.
         """
         limit = WATCH_IDLE_TIMEOUT + WATCH_IDLE_TIMEOUT_JITTER * self.random.random()
         last_message, parser = self.loop.now(), MessageParser()
--- a/arrowfold/protocol/faktory.py
+++ b/arrowfold/protocol/faktory.py
@@ -36,7 +36,7 @@
 from arrowfold.protocol.waiting import AnswerReceiver
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import Job, Verdict
-from arrowfold.transport.budget import Budget, ClientShare
+from arrowfold.transport.budget import ClientShare, ConnectionBudget
 from arrowfold.transport.loop import Loop, Steps
 from arrowfold.transport.stream import Address, Listener, Stream, StreamBroken, TimedOut
 
@@ -72,8 +72,9 @@
 
     def __init__(
             self, loop: Loop, address: Address, password: str | None, core: Core, zone: str,
-            classes: dict[str, api.RequestClass], budget: Budget, share: float, fetch_limit: timedelta,
-            counters: Counter[str], check: Check | None = None, sock: socket.socket | None = None,
+            classes: dict[str, api.RequestClass], budget: ConnectionBudget, share: float,
+            fetch_limit: timedelta, counters: Counter[str], check: Check | None = None,
+            sock: socket.socket | None = None,
     ) -> None:
         self.loop, self.core, self.password, self.classes = loop, core, password, classes
         self.counters, self.check = counters, check
@@ -118,7 +119,7 @@
         worker = peer.worker
         if not (self.standby or self.retired) or peer.commands.buffered or not peer.commands.stream.quiet():
             return False
-        return worker is None or (self.retired and not worker.fetched and not self.core.owed)
+        return worker is None or (self.retired and not worker.fetched and not self.core.unanswered_count)
 
     def _close_idle(self) -> None:
         """Disconnect idle peers with no unread input, repeatedly while in standby or retired."""
@@ -160,7 +161,7 @@
                 except CommandError as error:
                     if error.fatal:
                         raise
-                    # Guards against malformed input failing more than its own command.
+                    # Prevents malformed input from failing more than its own command.
                     self.counters["faktory_errors"] += 1
                     reply = error_reply(str(error))
                 if reply:
@@ -315,7 +316,8 @@
         try:
             if peer.commands.poll_disconnect():
                 raise StreamBroken("the worker left")
-            # Guards rule 2: before its last byte is sent the job can't have run, afterwards it may have.
+            # Rule 2 (no repeat of what may have run): before its last byte is sent the job can't have run,
+            # afterwards it may have.
             job = bulk_reply(worker_fields(dispatch.job, dispatch.job.deadline - self.loop.now()))
             yield from peer.commands.stream.write(job, dispatch.job.deadline)
             dispatch.is_sent = True
@@ -345,7 +347,8 @@
         state = fields.get("current_state") or ""
         if state not in ("", "quiet", "terminate"):
             raise CommandError("BEAT: current_state is neither quiet nor terminate")
-        quieted = self.drains_workers and not self.core.owed  # workers are needed while an answer is due
+        # Workers are needed while an answer is due.
+        quieted = self.drains_workers and not self.core.unanswered_count
         if state or quieted:
             self.workers.drain(worker)
         return bulk_reply({"state": "quiet"}) if quieted and not state else OK
--- a/arrowfold/protocol/faktory_wire.py
+++ b/arrowfold/protocol/faktory_wire.py
@@ -126,7 +126,7 @@
         data = self.stream.try_read()
         if data is None:
             return None
-        # Guards memory: data beyond the bound is discarded, but read, as the end of the stream follows it.
+        # Bounds memory: data beyond the bound is discarded, but read, as the end of the stream follows it.
         self.has_overrun = self.has_overrun or len(self.buffered) + len(data) > 2 * MAX_LINE_BYTES
         if not self.has_overrun:
             self.buffered += data
--- a/arrowfold/protocol/faktory_worker.py
+++ b/arrowfold/protocol/faktory_worker.py
@@ -88,22 +88,22 @@
         status = api.Status.OK if self.connections else api.Status.CONNECT_FAILED
         self._call_soon(lambda: probe.ended(status, self.load() if self.connections else None))
 
-    def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
+    def cancel(self, operation: Dispatch | Probe) -> api.Status | None:
         """Cancel an attempt or a probe.
 
         FULL if the attempt was not fetched, so it has not run; None if it may have run; MOOT for a probe.
         """
-        if not isinstance(errand, Dispatch):
+        if not isinstance(operation, Dispatch):
             return api.Status.MOOT
-        if errand in self.queued:
-            self.queued.remove(errand)
+        if operation in self.queued:
+            self.queued.remove(operation)
             return api.Status.FULL
         for fetch in self.fetches:
-            if fetch.dispatch is errand:  # assigned to the FETCH, but no byte of it is sent
+            if fetch.dispatch is operation:  # assigned to the FETCH, but no byte of it is sent
                 fetch.dispatch = None
-                self._forget_fetched(errand)
+                self._forget_fetched(operation)
                 return api.Status.FULL
-        return None if self._forget_fetched(errand) else api.Status.FULL
+        return None if self._forget_fetched(operation) else api.Status.FULL
 
     def rest(self) -> None:
         """Return queued attempts to the core, which may send them to another worker."""
@@ -238,8 +238,9 @@
             worker.drain_queue()
 
     def _remove_disconnected(self, worker: FaktoryWorker) -> None:
-        reconnected = worker.connections or self.loop.now() - worker.disconnected_at < RECONNECT_TIMEOUT
-        if not reconnected and self.by_wid.get(worker.wid) is worker:
+        connected_or_within_grace = (
+            worker.connections or self.loop.now() - worker.disconnected_at < RECONNECT_TIMEOUT)
+        if not connected_or_within_grace and self.by_wid.get(worker.wid) is worker:
             del self.by_wid[worker.wid]
             self._list(worker, api.Lifecycle.TERMINATED)
             worker.end_fetched()
--- a/arrowfold/protocol/front.py
+++ b/arrowfold/protocol/front.py
@@ -18,7 +18,7 @@
 from arrowfold.protocol.waiting import AnswerReceiver
 from arrowfold.routing.core import Core
 from arrowfold.routing.session import Job, Verdict
-from arrowfold.transport.budget import Budget, ClientShare
+from arrowfold.transport.budget import ClientShare, ConnectionBudget
 from arrowfold.transport.loop import ZERO, Loop, Steps
 from arrowfold.transport.stream import Address, Listener, Stream, StreamBroken, TimedOut
 
@@ -93,7 +93,8 @@
     def last_progress(self) -> timedelta:
         """Returns the time of the last progress.
 
-        Guards slow writers: a partial request counts from its last byte, not from its first.
+        A partial request counts from its last byte, not from its first, so that slow writers keep their
+        connections.
         """
         return self.side.last_received if self.stage is Stage.PARTIAL_REQUEST else self.stage_since
 
@@ -107,8 +108,8 @@
 
     def __init__(
             self, loop: Loop, address: Address, core: Core, classes: dict[str, api.RequestClass],
-            budget: Budget, share: float, max_held_bytes: int, max_idle: int, counters: Counter[str],
-            check: Check | None = None, sock: socket.socket | None = None,
+            budget: ConnectionBudget, share: float, max_held_bytes: int, max_idle: int,
+            counters: Counter[str], check: Check | None = None, sock: socket.socket | None = None,
     ) -> None:
         self.loop, self.core, self.classes, self.counters, self.check = loop, core, classes, counters, check
         self.connections: set[Connection] = set()
@@ -134,8 +135,8 @@
     def _free_connections(self) -> bool:
         """Close connections to free capacity; whether any was closed.
 
-        Guards against clients that use up all connections without sending requests: those in the first stages
-        are closed first. New connections get some time, as a request may be on its way. Connections whose
+        Prevents clients from using up all connections without sending requests: those in the first stages are
+        closed first. New connections get some time, as a request may be on its way. Connections whose
         answer is due stay. Several are closed at once, to avoid a search per new client in a crowd.
         """
         now = self.loop.now()
@@ -143,7 +144,7 @@
                     if c.stage.value is not None and now - c.last_progress() >= c.stage.value]
         closable.sort(key=lambda c: (_CLOSE_ORDER.index(c.stage), c.last_progress()))
         max_closed = max(1, len(self.connections) // 8)
-        # Guards a request that has arrived and is not read yet: its connection is no longer idle.
+        # Prevents the loss of a request that has arrived and is not read yet: its connection isn't idle.
         closing = list(islice(
             (c for c in closable if c.stage is Stage.LINGERING or c.side.stream.quiet()), max_closed))
         for connection in closing:
@@ -164,8 +165,8 @@
     def _become_idle(self, connection: Connection) -> None:
         """Mark a connection as idle; of too many idle ones, close those idle for longest.
 
-        Guards clients that abandon connections and open new ones: abandoned connections use up the client's
-        share, and its next request would be refused.
+        Prevents the refusal of requests from clients that abandon connections and open new ones: abandoned
+        connections use up the client's share.
         """
         connection.enter(connection.idle_stage, self.loop.now())
         if connection.idle_stage is Stage.IDLE_JOBS:
@@ -256,7 +257,7 @@
                 try:
                     more = yield from self._serve_one(connection)
                 except BadRequest as error:
-                    # Guards against malformed, oversize and partial requests: answered once, then closed.
+                    # A malformed, oversize or partial request is answered once, then the connection closed.
                     self.counters["bad_requests"] += 1
                     self.counters[f"bad_requests_{error.status}"] += 1
                     yield from self._reply(side, error.status, _error_body(error), [], close=True)
@@ -264,9 +265,9 @@
                     until = max(connection.accepted + ERROR_LINGER_LIMIT, self.loop.now() + ERROR_LINGER_IDLE)
                     yield from side.stream.linger(until, ERROR_LINGER_IDLE)
                     return
-                yield from self.loop.turn()  # guards other clients against hundreds of pipelined requests
+                yield from self.loop.turn()  # prevents pipelined requests from delaying other clients
             if side.overrun or side.has_pipelined() or not side.stream.quiet():
-                # Guards the last answer's bytes: closing with unread input would reset the connection.
+                # Closing with unread input would reset the connection and lose the last answer's bytes.
                 connection.enter(Stage.LINGERING, self.loop.now())
                 yield from side.stream.linger(self.loop.now() + FINAL_LINGER, FINAL_LINGER)
         except (StreamBroken, TimedOut):
@@ -303,8 +304,8 @@
             cls = self.classes.get(job.request_class) if job is not None else None
             yield from side.read_body(request, until, lambda size: self._count_body(connection, size))
             if job is not None and self.classes.get(job.request_class) is not cls:
-                # Guards rule 2: the settings changed between the head and the body, and a stricter class may
-                # require more of the head than the class under which it was read.
+                # Rule 2 (no repeat of what may have run): the settings changed between the head and the body,
+                # and a stricter class may require more of the head than the class under which it was read.
                 job, wait = self._read_job(request)
         except TimedOut as error:
             raise BadRequest(408, "the request did not come in time") from error
@@ -314,12 +315,13 @@
             self.check(request)
         if job is None:
             status, body = self._status_page(urlsplit(request.target).path)
-            # Guards clients with jobs: when connections run short, those for status pages are not kept open.
+            # When connections run short, those for status pages are not kept open, so that clients with jobs
+            # have them.
             more = yield from self._reply(
                 side, status, b"" if request.method == "HEAD" else body, [],
                 close=self.client_share.crowded())
         else:
-            self._check_not_open(job.id)
+            self._check_job_id_unused(job.id)
             if self.finishing:
                 self.counters["denied_at_the_end"] += 1
                 return (yield from self._reply(side, _STATUSES[Verdict.DENIED], b"denied: the end\n", []))
@@ -348,7 +350,7 @@
         connection.pipelined_bytes = size
 
     def _count_body(self, connection: Connection, size: int) -> None:
-        """Set the body bytes that a connection holds. Guards memory: 503 if all exceed the bound."""
+        """Set the body bytes that a connection holds. Bounds memory: 503 if all exceed the bound."""
         self.held_bytes += size - connection.body_bytes
         connection.body_bytes = size
         if size and self.held_bytes > self.max_held_bytes:
@@ -427,7 +429,7 @@
             text = headers.get(header.lower(), "")
             if len(text) > MAX_ID_CHARS or not text.isprintable() or " " in text:
                 raise BadRequest(400, f"header {header} is no short word")
-        self._check_not_open(headers["x-trace-id"])
+        self._check_job_id_unused(headers["x-trace-id"])
         try:
             wait = parse_duration(headers["x-expires-in"])
         except ValueError:
@@ -447,8 +449,8 @@
             f"{request.method} {request.target}".encode())
         return job, wait
 
-    def _check_not_open(self, job_id: str) -> None:
-        """Guards an open session: its id belongs to the client that submitted it first."""
+    def _check_job_id_unused(self, job_id: str) -> None:
+        """Raises BadRequest (409) for an open session's id: it belongs to the client that sent it first."""
         if self.core.holds(job_id):
             raise BadRequest(409, f"header X-Trace-Id: {job_id!r} is open already")
 
--- a/arrowfold/protocol/http.py
+++ b/arrowfold/protocol/http.py
@@ -118,8 +118,8 @@
     def poll_disconnect(self, free_bytes: int = MAX_PIPELINED_BYTES) -> bool | None:
         """Buffer pipelined data; True after the client's disconnect, None if nothing is there to read.
 
-        All data is read, as the end of the stream follows it. Guards memory against a client that sends
-        without end: data beyond the bound is discarded, and the connection ends with its answer.
+        All data is read, as the end of the stream follows it. Bounds memory when a client sends without
+        end: data beyond the bound is discarded, and the connection ends with its answer.
         """
         data = self.stream.try_read(MAX_HEAD_BYTES)
         if data is None:
@@ -157,8 +157,9 @@
             raise BadRequest(400, f"header {name} comes more than once")
         headers[name] = value
     request = Request(event.method.decode(), event.target.decode("latin-1"), headers)
-    # Guards rule 2 against request smuggling: a peer that uses the other length, or reads a folded line
-    # differently, may find a second request inside the first one's body.
+    # Prevents request smuggling, which would violate rule 2 (no repeat of what may have run): a peer that
+    # uses the other length, or reads a folded line differently, may find a second request inside the first
+    # one's body.
     if "transfer-encoding" in headers and ("content-length" in headers or event.http_version < b"1.1"):
         raise BadRequest(400, "Transfer-Encoding must not come with Content-Length or HTTP/1.0")
     if (fold := _FOLDED_LINE.search(raw)) is not None and fold.group(1) is None:
--- a/arrowfold/protocol/waiting.py
+++ b/arrowfold/protocol/waiting.py
@@ -36,8 +36,8 @@
         `poll_disconnect` returns True after a disconnect, None if nothing is there to read.
         """
         self.answered = None
-        # Guards workers against the job of a client that has already disconnected. The end of its stream may
-        # follow pipelined data.
+        # Prevents workers from running the job of a client that has already disconnected. The end of its
+        # stream may follow pipelined data.
         for _ in range(MAX_PIPELINED_READS):
             if (gone := _is_gone(poll_disconnect)) is not False:
                 break
@@ -52,7 +52,7 @@
                 return None
             if self.answered is not None:
                 break
-            # Guards other clients against one that keeps sending: it reads once per turn of the event loop.
+            # Prevents a client that keeps sending from delaying others: it is read once per turn of the loop.
             yield from stream.wait_readable() if gone is None else loop.turn()
         return self.answered
 
--- a/arrowfold/protocol/worker.py
+++ b/arrowfold/protocol/worker.py
@@ -48,24 +48,24 @@
 
     def send(self, dispatch: Dispatch) -> None:
         """Start an attempt; its outcome is reported through `dispatch`."""
-        dispatch.errand = self.loop.spawn(self._attempt(dispatch), "dispatch")
+        dispatch.task = self.loop.spawn(self._attempt(dispatch), "dispatch")
 
     def probe(self, probe: Probe) -> None:
         """Request a load report; the result is reported through `probe`."""
-        probe.errand = self.loop.spawn(self._probe(probe), "probe")
+        probe.task = self.loop.spawn(self._probe(probe), "probe")
 
-    def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
+    def cancel(self, operation: Dispatch | Probe) -> api.Status | None:
         """Cancel an attempt or a probe by closing its connection.
 
         MOOT for a probe, and if the worker can't have run the job; None if the job was sent to its last byte,
         so that it may have run.
         """
-        if errand.errand is not None:
-            errand.errand.stop()
-        return None if isinstance(errand, Dispatch) and errand.is_sent else api.Status.MOOT
+        if operation.task is not None:
+            operation.task.stop()
+        return None if isinstance(operation, Dispatch) and operation.is_sent else api.Status.MOOT
 
     def rest(self) -> None:
-        """Close idle connections. Guards against those broken by a restart, whose errors would mislead."""
+        """Close idle connections: the errors of those broken by a restart would be misleading."""
         while self.pool.drop_oldest():
             pass
 
@@ -73,15 +73,15 @@
         """Close all connections, since the worker was removed, moved or restarted."""
         self.pool.close()
 
-    def _connect(self, errand: str) -> Steps[Stream]:
-        """Take a pooled connection or open one, counted by `errand`."""
+    def _connect(self, operation: str) -> Steps[Stream]:
+        """Take a pooled connection or open one, counted by `operation`."""
         opened = self.pool.opened
         stream = yield from self.pool.take(self.loop.now() + self.connect_limit)
         if self.pool.opened == opened:
             self.counters["connections_reused"] += 1
         else:
             self.counters["connections_opened"] += 1
-            self.counters[f"connections_opened_{errand}"] += 1
+            self.counters[f"connections_opened_{operation}"] += 1
         return stream
 
     def _attempt(self, dispatch: Dispatch) -> Steps[None]:
@@ -120,8 +120,8 @@
             except TimedOut:
                 dispatch.ended(api.Status.TIMEOUT)
             except (StreamBroken, ValueError, RecursionError) as error:
-                # Guards rule 2: after the last byte the job may have run, so this is a reset and never
-                # leads to an unreported second attempt.
+                # Rule 2 (no repeat of what may have run): after the last byte the job may have run, so this
+                # is a reset and never leads to an unreported second attempt.
                 self.counters["resets"] += 1
                 if not dispatch.has_ended:
                     dispatch.ended(api.Status.RESET)
@@ -138,7 +138,7 @@
         load = self._header_load(headers)
         if status != 200:
             never_ran = headers.get("x-never-ran") == "1" and status in (503, 504)
-            # Guards against a body that never ends: status and headers are sufficient.
+            # Prevents waiting for a body that never ends: status and headers are sufficient.
             dispatch.ended(api.Status.FULL if never_ran else api.Status.ERROR, b"", load)
             yield from exchange.rest(self.loop.now() + DRAIN_TIMEOUT)
             return
@@ -162,7 +162,8 @@
         if not isinstance(row, dict):
             raise ValueError("a line is not a JSON object")
         if row.get("id", dispatch.job.id) != dispatch.job.id:
-            # Guards rule 1: a late second answer to the connection's previous request goes to no client.
+            # Rule 1 (at most one answer): a late second answer to the connection's previous request goes to
+            # no client.
             self.counters["answers_misplaced"] += 1
             raise ValueError("a line has another job's id")
         state = row.get("state")
--- a/arrowfold/quotas/comebacks.py
+++ b/arrowfold/quotas/comebacks.py
@@ -1,7 +1,7 @@
 """Retry times promised to refused jobs at one level, and the capacity reserved for these retries.
 
-Guards the promised times: without a reservation, new jobs would use all capacity as it becomes free, and a
-retry at its promised time would be refused again. Only as much is reserved as promised retries have recently
+Prevents a retry at its promised time from being refused again: without a reservation, new jobs would use all
+capacity as it becomes free. Only as much is reserved as promised retries have recently
 used, so clients that never retry, or don't mark their retries, cost next to nothing.
 """
 
@@ -72,7 +72,7 @@
         while True:
             iterations += 1
             if iterations == MAX_SEARCH_STEPS and self.times_us:
-                at_us = max(at_us, self.times_us[-1])  # guards the loop against many promises: skips them all
+                at_us = max(at_us, self.times_us[-1])  # bounds the loop: skips all promises
             first, last = bisect_right(self.times_us, at_us - span_us), bisect_right(self.times_us, at_us)
             remaining, expires_us = window.remaining_at(at_us)
             over = remaining + (last - first + 1) * cost - limit
--- a/arrowfold/quotas/gate.py
+++ b/arrowfold/quotas/gate.py
@@ -19,7 +19,7 @@
 RUN_TIME_STEP = 0.05  # weight of one run in its class's moving average
 MAX_RECENT_KEYS = 20_000  # pairs of worker and key
 FETCH_COST = UNIT[Resource.FETCHES]
-MAX_REPORTED_FETCHES = 1_000_000  # of one attempt; guards the sums against impossible reported counts
+MAX_REPORTED_FETCHES = 1_000_000  # of one attempt; bounds the sums when impossible counts are reported
 
 
 class Gate:
@@ -31,10 +31,10 @@
         self.mean_run_us = {name: float(mean // MICROSECOND) for name, mean in means.items()}
         self._recent_keys: OrderedDict[tuple[str, str], None] = OrderedDict()
 
-    def change(self, tree: Tree, nodes: int) -> None:
+    def replace_tree(self, tree: Tree, nodes: int) -> None:
         """Switch to another tree; balances are kept by path."""
         self.tenants_by_network = Networks(tree.owners)
-        self.ledger.change(tree, nodes)
+        self.ledger.replace_tree(tree, nodes)
 
     def check(self, account: str | None) -> str | None:
         """Returns the fault of a tenant's path; None if it is valid."""
--- a/arrowfold/quotas/ledger.py
+++ b/arrowfold/quotas/ledger.py
@@ -36,7 +36,8 @@
         self.evicted_count = 0
         self.start_us: int | None = self.now_us  # of a start without balances; None after `restore`
         self.removed_accounts: dict[Path, Account] = {}  # balances of levels that the current tree lacks
-        # Called with each charge and refund, in JSON values, for `follow` of another process's ledger.
+        # Called with each charge and refund, in JSON values, for `apply_replicated_charge` of the ledger of
+        # another process.
         self.on_charge: Callable[[list[Any]], None] | None = None
 
     # --- admission ---------------------------------------------------------------------------------------
@@ -141,10 +142,10 @@
                             {resource.value: amount for resource, amount in amounts.items() if amount},
                             [[list(account.path), number, amount] for account, number, amount in borrowing]])
 
-    def follow(self, row: Any, now_us: int) -> None:
+    def apply_replicated_charge(self, row: Any, now_us: int) -> None:
         """Apply a charge or refund of the node's other process. ValueError if the row is malformed.
 
-        Guards a limit against being applied once per process: what either admits is charged in both.
+        Prevents a limit from being applied once per process: what either admits is charged in both.
         """
         now_us = self._advance_clock(now_us)
         try:
@@ -205,10 +206,10 @@
 
     # --- accounts ----------------------------------------------------------------------------------------
 
-    def part(self, limit: Limit) -> int:
-        """Returns this node's part of a limit; all nodes' parts add up to at most `stretch` times it."""
-        part = limit.amount * min(1.0, self.tree.stretch / self.nodes) if self.nodes > 1 else limit.amount
-        return max(1, min(int(part), MOST_AMOUNT)) if limit.amount > 0 else 0
+    def node_share(self, limit: Limit) -> int:
+        """Returns this node's share of a limit; all nodes' shares add up to at most `stretch` times it."""
+        share = limit.amount * min(1.0, self.tree.stretch / self.nodes) if self.nodes > 1 else limit.amount
+        return max(1, min(int(share), MOST_AMOUNT)) if limit.amount > 0 else 0
 
     def _chain(self, path: Path) -> Iterable[Account]:
         """Returns the accounts of a path's levels from the top, creating missing ones."""
@@ -226,7 +227,7 @@
     def _create_account(self, at: Path, level: Level) -> Account:
         windows = []
         for limit in level.limits:
-            window = Window(self.part(limit), max(1, limit.per // MICROSECOND))
+            window = Window(self.node_share(limit), max(1, limit.per // MICROSECOND))
             start_us = self.start_us
             if self.tree.cautious < 1 and start_us is not None and self.now_us < start_us + window.span_us:
                 # A start without balances: as if the remaining part had been used at that moment. An account
@@ -237,7 +238,7 @@
         return Account(at, level, windows)
 
     def _evict_idle(self) -> None:
-        """Remove accounts idle for longest, without debts. Guards memory against ever new tenant names."""
+        """Remove accounts idle for longest, without debts. Bounds memory when tenant names are ever new."""
         for path in list(islice(self.accounts, 64)):
             account = self.accounts[path]
             if len(self.accounts) > self.tree.most_levels and account.idle(self.now_us):
@@ -255,7 +256,7 @@
 
     # --- a new tree, and the next process ----------------------------------------------------------------
 
-    def change(self, tree: Tree, nodes: int) -> None:
+    def replace_tree(self, tree: Tree, nodes: int) -> None:
         """Switch to another tree; balances are kept by path, resource and window length."""
         last, self.accounts = {**self.removed_accounts, **self.accounts}, OrderedDict()
         self.removed_accounts = {}
@@ -263,7 +264,7 @@
         for path, account in last.items():
             level = next((lv for at, lv in tree.chain(path if path != ("",) else ()) if at == path), None)
             if level is None:
-                # Guards against gaining quota by removing a level and adding it again.
+                # Prevents gaining quota by removing a level and adding it again.
                 if not account.idle(self.now_us) and len(self.removed_accounts) < MAX_REMOVED_ACCOUNTS:
                     self.removed_accounts[path] = account
                 continue
@@ -275,7 +276,7 @@
                 window, debt = held.get((limit.resource, limit.per), (None, 0))
                 if window is None:
                     window = Window(0, max(1, limit.per // MICROSECOND))
-                window.limit = self.part(limit)
+                window.limit = self.node_share(limit)
                 account.windows.append(window)
                 account.debt.append(debt)
             account.borrowed = [Window(w.limit, w.span_us) for w in account.windows] if level.borrow else []
--- a/arrowfold/quotas/window.py
+++ b/arrowfold/quotas/window.py
@@ -1,7 +1,7 @@
 """A sliding window of charges, in slots of time: at most the limit in any interval of the window's length.
 
 A slot counts until its end is a whole window old, so no interval, whenever it begins, exceeds the limit.
-Charges at the beginning of a slot expire late by up to a slot, so at most one part in SLOTS is unused.
+Charges at the beginning of a slot expire late by up to a slot, so at most 1/SLOTS of the limit is unusable.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
                 return  # the charge has expired or is unknown
             self.slots.insert(index, Slot(number))
         slot = self.slots[index]
-        amount = max(amount, -slot.amount)  # guards against refunding more than the slot holds
+        amount = max(amount, -slot.amount)  # prevents refunding more than the slot holds
         slot.amount += amount
         self.total += amount
 
--- a/arrowfold/routing/core.py
+++ b/arrowfold/routing/core.py
@@ -68,7 +68,7 @@
         self.table = ServerTable()
         self.part = WorkerSubset(settings.zone, settings.number, self.table.is_unshared)
         self.sessions: dict[str, Session] = {}
-        self.owed = 0  # sessions without a final answer
+        self.unanswered_count = 0  # sessions without a final answer
         self._inbox: deque[tuple[Session, object]] = deque()
         self._is_processing = False
         self.listed = True  # whether the list of servers is recent enough to serve from
@@ -78,9 +78,10 @@
         self.repeats: Store | None = None  # None: duplicate requests are not recognised
         self.runs: dict[str, Session] = {}  # by job id: sessions that execute all requests of one key
         self.observer: Observer | None = None
-        # Set while another process of this node also serves: which jobs it has open, and the callback that
-        # informs it of sessions opened and closed here.
+        # Both are replaced while another process of this node also serves.
+        # Returns whether the other process has a session with this job id open.
         self.held_elsewhere: Callable[[str], bool] = lambda job_id: False
+        # Informs the other process that a session was opened (True) or closed (False) here.
         self.on_session: Callable[[str, bool], None] = lambda job_id, opened: None
 
     # --- called by the protocols and the node --------------------------------------------------------
@@ -131,7 +132,7 @@
         self._process_inbox()
 
     def start_maintenance(self, name: str) -> None:
-        """Starts maintenance of a server: it receives no work until `bring_back` is called."""
+        """Starts maintenance of a server: it receives no work until `end_maintenance` is called."""
         server = self.table.find(name)
         if self.observer is not None:
             self.observer.maintenance_changed(name, True)
@@ -170,7 +171,7 @@
         """Accepts a job. The client receives exactly one answer, possibly before this method returns."""
         session = Session(job, client)
         self.counters["taken"] += 1
-        self.owed += 1
+        self.unanswered_count += 1
         if self.observer is not None:
             self.observer.session_started(session)
         if len(self.sessions) >= self.max_sessions:  # limits memory: no state is kept for this one
@@ -259,10 +260,10 @@
         self.on_session(job.id, False)
 
     def _await_list(self, session: Session) -> Generator[None, object, bool]:
-        """Waits for a valid list; returns False if the session ends before.
+        """Waits for a valid list; returns False if the session ends first.
 
-        Needed for rule 3 just after a process has started, when it does not know yet which servers drain or
-        have been removed.
+        Needed for rule 3 (no new work for a server that drains or has been removed) just after a process has
+        started, when it does not know these servers yet.
         """
         self._waiting_for_list.append(session)
         while not session.answered:
@@ -328,7 +329,7 @@
         run.is_run, run.span = True, session.span
         waiters.waiting[session] = None
         self.runs[job.id] = run
-        self.owed += 1
+        self.unanswered_count += 1
         run.timer = self.clock.call_at(job.deadline, lambda: self._notify(run, Expired()))
         run.coroutine = self._run_session(run)
         self._resume(run, None)
@@ -402,7 +403,7 @@
         now, number = self.clock.now(), len(session.dispatches)
         server = self.table.find(order.worker)
         moot = session.answered or now >= session.job.deadline or number >= self.settings.attempt_cap
-        moot = moot or order.worker in self.table.out  # rule 3, whatever the dispatcher does
+        moot = moot or order.worker in self.table.out  # rule 3: no new work, whatever the dispatcher does
         if moot or server is None:
             status = api.Status.MOOT if moot else api.Status.CONNECT_FAILED
             dispatch = Dispatch(session, number, order.worker, _ABSENT_SERVER, now, self._notify)
@@ -438,7 +439,7 @@
                 self._cancel(dispatch, api.Status.CANCELLED)
 
     def _cancel_unsent_to_leaving(self) -> None:
-        """Cancels unsent attempts to servers that drain or have restarted, as rules 3 and 4 require."""
+        """Cancels unsent attempts to servers that drain (rule 3) or have restarted (rule 4: cold workers)."""
         for session in [*self.runs.values(), *self.sessions.values()]:
             for dispatch in session.unfinished():
                 if not dispatch.is_sent and not self.table.serves(dispatch.server_name, dispatch.server):
@@ -458,7 +459,7 @@
         self.counters[f"outcome_{status.name.lower()}"] += 1
         if self.observer is not None:
             self.observer.ended(dispatch, status, load)
-        elapsed = to_us(self.clock.now() - dispatch.sent)
+        elapsed = to_us(self.clock.now() - dispatch.sent_at)
         session = dispatch.session
         session.may_have_run = session.may_have_run or not status.never_ran
         if self.quotas is not None and not status.never_ran:
@@ -473,7 +474,8 @@
         """Ends a session at its deadline: its attempts time out and its client is answered."""
         for dispatch in session.unfinished():
             self._cancel(dispatch, api.Status.TIMEOUT)
-        # Rule 1, whatever the dispatcher does: an answer of the dispatcher's would be in the inbox by now.
+        # Rule 1 (an answer by the deadline), whatever the dispatcher does: its answer would be in the inbox
+        # by now.
         if not session.answered and not any(
                 receiver is session and isinstance(event, api.Refuse | api.Fail)
                 for receiver, event in self._inbox):
@@ -483,7 +485,7 @@
     def _client_left(self, session: Session) -> None:
         """Closes a session whose client has disconnected; no answer is sent."""
         session.answered = True
-        self.owed -= 1
+        self.unanswered_count -= 1
         if session.is_run:
             self.share_answer(session.client, Answer(Verdict.FAILED))  # type: ignore[arg-type]
             return
@@ -495,7 +497,7 @@
         if session.answered:
             return
         session.answered = True
-        self.owed -= 1
+        self.unanswered_count -= 1
         if session.is_run:
             session.client.answer(answer)
             return
@@ -513,7 +515,8 @@
         try:
             actions = self.module.handle(to_us(self.clock.now()), (event,))
         except Exception as error:
-            # Rule 1 holds in spite of an exception in the dispatcher: the session still ends at its deadline.
+            # Rule 1 (an answer by the deadline) holds in spite of an exception in the dispatcher: the session
+            # still ends at its deadline.
             self.counters["module_faults"] += 1
             self.log("module_fault", error=f"{type(error).__name__}: {error}", on=type(event).__name__)
             return
@@ -553,9 +556,9 @@
 
         if server is None or name in self.table.out:
             probe.timer = self.clock.call_at(
-                probe.sent, lambda: self._probe_ended(probe, api.Status.CONNECT_FAILED, None))
+                probe.sent_at, lambda: self._probe_ended(probe, api.Status.CONNECT_FAILED, None))
             return
-        probe.timer = self.clock.call_at(probe.sent + PROBE_TIMEOUT, time_out)
+        probe.timer = self.clock.call_at(probe.sent_at + PROBE_TIMEOUT, time_out)
         server.probe(probe)
 
     def _probe_ended(self, probe: Probe, status: api.Status, load: api.LoadReport | None) -> None:
@@ -565,7 +568,7 @@
         if probe.timer is not None:
             probe.timer.cancel()
         self.counters["probes_ok" if status is api.Status.OK else "probes_failed"] += 1
-        elapsed = to_us(self.clock.now() - probe.sent)
+        elapsed = to_us(self.clock.now() - probe.sent_at)
         if self.observer is not None:
             self.observer.probed(probe.server_name, status, load)
         self._consult(api.ProbeEnded(probe.server_name, status, elapsed, load))
@@ -619,8 +622,8 @@
     def probe(self, probe: Probe) -> None:
         del probe
 
-    def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
-        del errand
+    def cancel(self, operation: Dispatch | Probe) -> api.Status | None:
+        del operation
         return api.Status.MOOT
 
     def rest(self) -> None:
--- a/arrowfold/routing/session.py
+++ b/arrowfold/routing/session.py
@@ -90,34 +90,34 @@
     def probe(self, probe: Probe) -> None:
         """Requests a load report; the result is reported to the probe."""
 
-    def cancel(self, errand: Dispatch | Probe) -> api.Status | None:
+    def cancel(self, operation: Dispatch | Probe) -> api.Status | None:
         """Stops an attempt or probe, after which it must not report.
 
         Returns the status to end it with if it is certain never to have run, else None.
         """
 
     def rest(self) -> None:
-        """Releases idle resources because no attempts will follow for a while."""
+        """Closes idle connections, because no attempts will follow for a while."""
 
 
 class Dispatch:
     """One attempt of a session at a backend server."""
 
     __slots__ = (
-        "_report", "errand", "fetches", "number", "has_ended", "sent", "server", "server_name", "session",
+        "_report", "task", "fetches", "number", "has_ended", "sent_at", "server", "server_name", "session",
         "span", "started_at", "timer", "is_sent")
 
     def __init__(
-            self, session: Session, number: int, server_name: str, server: BackendServer, sent: timedelta,
+            self, session: Session, number: int, server_name: str, server: BackendServer, sent_at: timedelta,
             report: Callable[[Session, object], None],
     ) -> None:
         self.session, self.number, self.server_name, self.server = session, number, server_name, server
-        self.sent, self.has_ended, self._report = sent, False, report
+        self.sent_at, self.has_ended, self._report = sent_at, False, report
         self.is_sent = False  # its last byte was handed to the connection: from here on the server may run it
-        self.started_at = sent  # replaced when the server reports the start
+        self.started_at = sent_at  # replaced when the server reports the start
         self.fetches = 0  # index fetches, in the unit of quotas
         self.timer: Cancellable | None = None
-        self.errand: Any = None  # state of the protocol that carries it
+        self.task: Any = None  # the protocol's task that carries it out
         self.span: Any = None  # state of the observer
 
     @property
@@ -141,16 +141,16 @@
 class Probe:
     """One request for a backend server's load report."""
 
-    __slots__ = ("_report", "errand", "has_ended", "sent", "server", "server_name", "timer")
+    __slots__ = ("_report", "task", "has_ended", "sent_at", "server", "server_name", "timer")
 
     def __init__(
-            self, server_name: str, server: BackendServer, sent: timedelta,
+            self, server_name: str, server: BackendServer, sent_at: timedelta,
             report: Callable[[Probe, api.Status, api.LoadReport | None], None],
     ) -> None:
-        self.server_name, self.server, self.sent, self.has_ended = server_name, server, sent, False
+        self.server_name, self.server, self.sent_at, self.has_ended = server_name, server, sent_at, False
         self._report = report
         self.timer: Cancellable | None = None
-        self.errand: Any = None
+        self.task: Any = None  # the protocol's task that carries it out
 
     def ended(self, status: api.Status, load: api.LoadReport | None = None) -> None:
         """Reports the result."""
--- a/arrowfold/transport/budget.py
+++ b/arrowfold/transport/budget.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 
-class Budget:
+class ConnectionBudget:
     """Divides a maximum number of connections between clients and backend servers.
 
     A part is reserved for connections to servers, and idle connections of clients are closed when a server
@@ -55,7 +55,7 @@
 class ClientShare:
     """A listener's share of the maximum for clients."""
 
-    def __init__(self, budget: Budget, share: float) -> None:
+    def __init__(self, budget: ConnectionBudget, share: float) -> None:
         self.budget, self.share, self.held = budget, share, 0
 
     def has_capacity(self) -> bool:
--- a/arrowfold/transport/pool.py
+++ b/arrowfold/transport/pool.py
@@ -5,7 +5,7 @@
 from collections import deque
 from datetime import timedelta
 
-from arrowfold.transport.budget import Budget
+from arrowfold.transport.budget import ConnectionBudget
 from arrowfold.transport.loop import ZERO, Loop, Steps
 from arrowfold.transport.stream import Address, Stream, StreamBroken, connect
 
@@ -22,7 +22,7 @@
 class Pools:
     """All pools of a process, with their common budget."""
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: ConnectionBudget) -> None:
         self.budget = budget
         self.open: list[Pool] = []
         budget.idle_closers.append(self.drop_oldest)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -39,12 +39,12 @@
         self.assertLess(node.counters()["connections_opened"], 4)
 
     def test_new_connections_are_counted_by_purpose(self) -> None:
-        for probes, errand in ((True, "probe"), (False, "dispatch")):
+        for probes, operation in ((True, "probe"), (False, "dispatch")):
             permissions = {**QUICK["permissions"], "probes": probes}
-            node = self.node(self.worker(f"s-{errand}"), settings={**QUICK, "permissions": permissions})
+            node = self.node(self.worker(f"s-{operation}"), settings={**QUICK, "permissions": permissions})
             node.post("t")
             counted = node.counters()
-            self.assertEqual(counted[f"connections_opened_{errand}"], counted["connections_opened"])
+            self.assertEqual(counted[f"connections_opened_{operation}"], counted["connections_opened"])
 
 
 class Outcomes(EdgeCase):
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from arrowfold.transport.budget import Budget
+from arrowfold.transport.budget import ConnectionBudget
 from arrowfold.transport.pool import Pool, Pools
 
 
@@ -41,7 +41,7 @@
 
     def setUp(self) -> None:
         self.clock = Clock()
-        pools = Pools(Budget(100))
+        pools = Pools(ConnectionBudget(100))
         self.pool = Pool(self.clock, ("127.0.0.1", 1), timedelta(seconds=24), pools)  # type: ignore[arg-type]
 
     def idle(self, seconds: float, rest: timedelta = timedelta(0)) -> Connection:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -105,7 +105,7 @@
             ledger.settle(ticket, {R: 0, T: 0}, now)
             assert totals(ledger) == once
         elif what == "change":
-            ledger.change(TREE, 1 + dice % 3)
+            ledger.replace_tree(TREE, 1 + dice % 3)
         elif what == "hand over" and not tickets:
             state = json.loads(json.dumps(ledger.state()))
             fresh = Ledger(TREE, ledger.nodes)
@@ -132,12 +132,12 @@
     """While both run, both have the same balances, whichever admits or settles a job."""
     old, new, now, clock = Ledger(TREE), Ledger(TREE), 0, [0]
     tickets: list[tuple[Ledger, Ticket]] = []
-    old.on_charge = lambda row: new.follow(json.loads(json.dumps(row)), clock[0])
+    old.on_charge = lambda row: new.apply_replicated_charge(json.loads(json.dumps(row)), clock[0])
     for nth, (what, in_new, dice) in enumerate(steps):
         clock[0] = now = now + dice * 37
         if nth == len(steps) // 3:  # the second process starts while jobs run
             new.restore(json.loads(json.dumps(old.state())), now)
-            new.on_charge = lambda row: old.follow(json.loads(json.dumps(row)), clock[0])
+            new.on_charge = lambda row: old.apply_replicated_charge(json.loads(json.dumps(row)), clock[0])
         asked = new if in_new and new.on_charge is not None else old
         if what == "ask":
             found = asked.admit(read_path(PATHS[dice % len(PATHS)]), ("c", "other")[dice % 2],
@@ -165,7 +165,7 @@
     for row in (None, 5, [], [["o"], "c", 0, 0, 7, []], [["o"], "c", "x", 0, {"requests": -1}, []],
                 [["o"], "c", 0, 0, {}, [[["o", "a"], 9, 1]]]):
         try:
-            ledger.follow(row, 10)
+            ledger.apply_replicated_charge(row, 10)
         except ValueError:
             continue
         raise AssertionError(row)
@@ -436,9 +436,9 @@
     def test_another_tree_keeps_balances_by_path(self) -> None:
         ledger = Ledger(org(limit(10), a=Level("a", (limit(6),))))
         tickets = [ledger.admit(("o", "a"), "c", ONE, 0) for _ in range(6)]
-        ledger.change(org(limit(10), a=Level("a", (limit(8),))), 1)
+        ledger.replace_tree(org(limit(10), a=Level("a", (limit(8),))), 1)
         self.assertEqual([is_admitted(ledger, "o/a", 0) for _ in range(3)], [True, True, False])
-        ledger.change(org(limit(9), b=Level("b")), 1)
+        ledger.replace_tree(org(limit(9), b=Level("b")), 1)
         self.assertEqual([is_admitted(ledger, "o/b", 0) for _ in range(2)], [True, False])
         for ticket in tickets:
             assert isinstance(ticket, Ticket)
@@ -449,8 +449,8 @@
         with_a = org(limit(10), a=Level("a", (limit(6),)))
         ledger = Ledger(with_a)
         self.assertEqual(sum(is_admitted(ledger, "o/a", 0) for _ in range(9)), 6)
-        ledger.change(org(limit(10)), 1)
-        ledger.change(with_a, 1)
+        ledger.replace_tree(org(limit(10)), 1)
+        ledger.replace_tree(with_a, 1)
         self.assertFalse(is_admitted(ledger, "o/a", 0))
         self.assertTrue(is_admitted(ledger, "o/a", 2 * SECOND))
 
